--- a/gypsumshift/agentnode.py
+++ b/gypsumshift/agentnode.py
@@ -4,7 +4,7 @@
 
 from gypsumshift import logs
 from gypsumshift.jobs.agent import Agent
-from gypsumshift.jobs.engine import Engine
+from gypsumshift.jobs.engine import EngineClient
 from gypsumshift.jobs.heart import STORE_WRITES
 from gypsumshift.jobs.presence import UNASKED, Presence
 from gypsumshift.jobs.station import Home
@@ -67,7 +67,7 @@
         self.pool.connected = fetcher.connected
         sender = Sender(directory, self.pool, fetcher, names, clock, metrics)
         forwarder = Forwarder(sender, self.guard, policy)
-        engine = Engine(fetcher, names, protocol)
+        engine = EngineClient(fetcher, names, protocol)
         self.agent = Agent(
             home,
             store,
--- a/gypsumshift/jobs/__init__.py
+++ b/gypsumshift/jobs/__init__.py
@@ -1,7 +1,7 @@
 """Jobs: batch jobs of trainers, from their acceptance to their results."""
 
 from gypsumshift.jobs.desk import Desk
-from gypsumshift.jobs.engine import Engine, EngineProtocol, EngineReport, Event
+from gypsumshift.jobs.engine import EngineClient, EngineProtocol, EngineReport, Event
 from gypsumshift.jobs.model import (
     Item,
     Job,
@@ -14,7 +14,7 @@
 
 __all__ = [
     "Desk",
-    "Engine",
+    "EngineClient",
     "EngineProtocol",
     "EngineReport",
     "Event",
--- a/gypsumshift/jobs/agent.py
+++ b/gypsumshift/jobs/agent.py
@@ -13,7 +13,7 @@
 from gypsumshift.clock import Clock
 from gypsumshift.jobs.claimer import Claimer
 from gypsumshift.jobs.claims import Candidate, ClaimBoard
-from gypsumshift.jobs.engine import Engine
+from gypsumshift.jobs.engine import EngineClient
 from gypsumshift.jobs.heart import STORE_WRITES, Heart
 from gypsumshift.jobs.model import (
     AGENTS,
@@ -21,14 +21,14 @@
     JOBS,
     Claim,
 )
-from gypsumshift.jobs.mover import Mover
 from gypsumshift.jobs.pace import is_slow
 from gypsumshift.jobs.peers import Peers
 from gypsumshift.jobs.presence import UNASKED, Presence
 from gypsumshift.jobs.room import NO_ROOM, Room
 from gypsumshift.jobs.station import Home, Station
-from gypsumshift.jobs.unitruns import UnitRunner
-from gypsumshift.jobs.weights import WeightKeeper
+from gypsumshift.jobs.unitmigrator import UnitMigrator
+from gypsumshift.jobs.unitrunner import UnitRunner
+from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.metrics import Metrics
 from gypsumshift.platforms import Row, RowStore
 from gypsumshift.policy import DEFAULT, Policy
@@ -75,7 +75,7 @@
     home : Home
     store : RowStore
     directory : Directory
-    engine : Engine
+    engine : EngineClient
     forwarder : Forwarder
         For reward calls.
     names : HeaderNames
@@ -94,7 +94,7 @@
         home: Home,
         store: RowStore,
         directory: Directory,
-        engine: Engine,
+        engine: EngineClient,
         forwarder: Forwarder,
         names: HeaderNames,
         clock: Clock,
@@ -113,7 +113,7 @@
         self.peers = Peers(self.own.session, clock, self.listened_at)
         self.board = ClaimBoard(self.own.session, clock, chance, self.peers)
         self.station = Station(home, directory, engine, clock)
-        self.weights = WeightKeeper(self.station, self.board, clock, metrics, policy)
+        self.weights = WeightManager(self.station, self.board, clock, metrics, policy)
         self.news = [asyncio.Event() for _ in range(CLAIMS_AT_ONCE)]
         self.runner = UnitRunner(
             self.own,
@@ -141,7 +141,9 @@
             self.places,
             store_writes,
         )
-        self.mover = Mover(self.heart, self.weights, self.board, self.runner, clock)
+        self.unit_migrator = UnitMigrator(
+            self.heart, self.weights, self.board, self.runner, clock
+        )
         directory.on_restart.append(self.note_restart)
         self.slow_at = float("-inf")
         self.leaving = False
@@ -177,14 +179,14 @@
         for job in self.board.take_jobs(rows):
             if job.model:
                 self.weights.note_job(job)
-        self.runner.drop_ended()
+        self.runner.drop_ended_jobs()
         self.note_news()
 
     def take_claims(self, rows: list[Row]) -> None:
         """Take rows of the table of claims."""
         self.board.take_claims(rows)
         for row in rows:
-            self.runner.note_claim(row)
+            self.runner.drop_if_taken_over(row)
         self.note_news()
 
     def note_restart(self, old: BackendServer) -> None:
@@ -196,7 +198,7 @@
         if old.address != self.home.address or old.service != self.home.service:
             return
         self.station.forget_start()
-        self.weights.forget_start()
+        self.weights.reset_load_state()
         self.runner.pace.forget()
         self.slow_at = float("-inf")
         self.note_news()
@@ -234,15 +236,15 @@
             return
         self.shed_if_slow()
         if self.policy.long_items_to_faster:
-            self.mover.look()
+            self.unit_migrator.migrate_long_units()
         if report is not None and not self.leaving:
-            await self.weights.bring(report)
+            await self.weights.order_due_load(report)
 
     def shed_if_slow(self) -> None:
         """Hand the items over where this engine is far behind its peers."""
         pace = self.runner.pace
         own, peers = pace.value(), self.peers.paces()
-        if self.weights.loading or not is_slow(own, peers):
+        if self.weights.loading_model or not is_slow(own, peers):
             return
         if not self.policy.slow_handover:
             return
@@ -262,7 +264,7 @@
         while True:
             await self.clock.sleep(SAVE_PERIOD)
             if self.policy.saved_runs:
-                await self.runner.save()
+                await self.runner.save_partials()
 
     def places(self) -> int:
         """Return the items that the engine could take now."""
@@ -278,7 +280,7 @@
             return NO_ROOM
         if since < SLOW_PROBATION and load:
             return NO_ROOM
-        if self.runner.scoring >= SCORING_ROUNDS * limits.slots:
+        if self.runner.scoring_count >= SCORING_ROUNDS * limits.slots:
             return NO_ROOM
         sizes = [size for unit in coming for size in [unit.memory] * len(unit.items)]
         return Room(limits.slots - load, limits.memory, (*self.runner.sizes, *sizes))
@@ -298,13 +300,13 @@
             limits = self.station.limits
             if limits is None:
                 return
-            self.runner.steps.set_places(limits.slots)
+            self.runner.item_runner.set_slot_count(limits.slots)
             self.claimer.adopt()
             candidate = self.board.choose(
-                self.weights.models(),
+                self.weights.assigned_models(),
                 self.weights.ready_versions(),
                 self.room(limits),
-                self.mover.slower,
+                self.unit_migrator.faster_free_slots,
                 self.claimer.may_ask,
             )
             if candidate is None:
@@ -334,7 +336,7 @@
         self.leaving = True
         while True:
             self.claimer.adopt()
-            await self.runner.leave()
+            await self.runner.drain()
             if not self.board.claiming and not self.runner.units:
                 return
             await self.clock.sleep(LEAVE_PAUSE)
--- a/gypsumshift/jobs/claimer.py
+++ b/gypsumshift/jobs/claimer.py
@@ -5,7 +5,7 @@
 from gypsumshift.jobs.claims import Candidate, ClaimBoard
 from gypsumshift.jobs.model import CLAIMS, Claim, UnitSummary, to_row
 from gypsumshift.jobs.presence import Presence
-from gypsumshift.jobs.unitruns import UnitRunner
+from gypsumshift.jobs.unitrunner import UnitRunner
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import Committed, Conflict, Unavailable
 from gypsumshift.platforms import ABSENT, Row, RowStore, Write
@@ -102,7 +102,7 @@
         held = self.board.held(job.id, unit.key)
         returning = (job.id, unit.key) in self.runner.returns.pending
         if self.board.is_own(held) and not returning:
-            self.runner.start(candidate, held.version)
+            self.runner.start_unit(candidate, held.version)
 
     async def claim(self, candidate: Candidate) -> bool:
         """Claim a unit; return whether to go on claiming."""
--- a/gypsumshift/jobs/engine.py
+++ b/gypsumshift/jobs/engine.py
@@ -19,12 +19,12 @@
 from gypsumshift.serving.headers import HeaderNames
 
 __all__ = [
-    "Engine",
+    "EngineClient",
     "EngineProtocol",
     "EngineReport",
     "Event",
     "StreamRefused",
-    "VersionOrder",
+    "WeightLoadOrder",
 ]
 
 # Seconds without an event after which a stream is taken for dead. Changing weights
@@ -81,7 +81,7 @@
 
 
 @attrs.frozen
-class VersionOrder:
+class WeightLoadOrder:
     """Order to load a weight version of a model.
 
     Attributes
@@ -115,10 +115,10 @@
         Whether this counts as a run that failed.
     """
 
-    def __init__(self, status: int, run: bool):
+    def __init__(self, status: int, counts_as_failure: bool):
         super().__init__(f"status {status}")
         self.status = status
-        self.run = run
+        self.counts_as_failure = counts_as_failure
 
     @property
     def replaced(self) -> bool:
@@ -137,11 +137,11 @@
         """Return the report in an answer; raises ValueError for a foreign one."""
 
     @abc.abstractmethod
-    def order_body(self, order: VersionOrder) -> bytes:
+    def order_body(self, order: WeightLoadOrder) -> bytes:
         """Return the body of an order."""
 
 
-class Engine:
+class EngineClient:
     """Client of model engines.
 
     Parameters
@@ -249,7 +249,7 @@
                 data.append(value)
         return Event(event_id, "\n".join(data), version)
 
-    async def report(self, server: BackendServer) -> EngineReport | None:
+    async def fetch_report(self, server: BackendServer) -> EngineReport | None:
         """Ask an engine for its report; None where it does not give one."""
         try:
             answer = await self.fetcher.fetch(
@@ -264,8 +264,8 @@
         except (FetchError, ValueError):
             return None
 
-    async def order(
-        self, server: BackendServer, order: VersionOrder
+    async def send_order(
+        self, server: BackendServer, order: WeightLoadOrder
     ) -> Answered | NotRun | Unknown:
         """Give an order; without an answer it may be carried out, even later."""
         headers = [
--- a/gypsumshift/jobs/heart.py
+++ b/gypsumshift/jobs/heart.py
@@ -15,7 +15,7 @@
 from gypsumshift.jobs.model import AGENTS, Heartbeat, to_row
 from gypsumshift.jobs.pace import Pace
 from gypsumshift.jobs.station import Station
-from gypsumshift.jobs.weights import WeightKeeper
+from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.outcomes import Committed, Conflict, Written
 from gypsumshift.platforms import ABSENT, Row, RowStore, Write
 from gypsumshift.serving.directory import ServerStart
@@ -48,7 +48,7 @@
     session : str
         Start of the agent.
     station : Station
-    weights : WeightKeeper
+    weights : WeightManager
         Told its fence, which is the number of the first heartbeat's transaction.
     board : ClaimBoard
     pace : Pace
@@ -71,7 +71,7 @@
         self,
         session: str,
         station: Station,
-        weights: WeightKeeper,
+        weights: WeightManager,
         board: ClaimBoard,
         pace: Pace,
         store: RowStore,
@@ -172,7 +172,7 @@
             engine=start.id,
             born=start.born,
             places=self.places(),
-            home=self.weights.home() or known.home,
+            home=self.weights.assigned_model() or known.home,
         )
 
     def usual_pace(self) -> float:
--- a/gypsumshift/jobs/itemrun.py
+++ b/gypsumshift/jobs/itemrun.py
@@ -8,7 +8,7 @@
 from gypsumshift import logs
 from gypsumshift.clock import Clock
 from gypsumshift.eventstream import StreamBroken
-from gypsumshift.jobs.engine import Engine, Event, StreamRefused
+from gypsumshift.jobs.engine import EngineClient, Event, StreamRefused
 from gypsumshift.jobs.model import Item, Job, Partial, Result, ResultState
 from gypsumshift.jobs.pace import Pace
 from gypsumshift.jobs.schedule import urgency
@@ -24,7 +24,7 @@
 
 # Seconds before an item goes to its engine again after a broken or refused stream:
 # some tokens' time, so that an engine that restarts is not flooded.
-PAUSE = 0.1
+RETRY_PAUSE = 0.1
 # Runs that an item gets where its route is not known any more.
 ATTEMPTS_DEFAULT = 3
 # Seconds for one try of a reward call: several times its usual 0.1 to 0.2 s, and
@@ -49,7 +49,7 @@
     ----------
     job : Job
     item : Item
-    engine : Engine
+    engine : EngineClient
     forwarder : Forwarder
     directory : Directory
     names : HeaderNames
@@ -79,7 +79,7 @@
 
     job: Job
     item: Item
-    engine: Engine
+    engine: EngineClient
     forwarder: Forwarder
     directory: Directory
     names: HeaderNames
@@ -91,9 +91,9 @@
     progress_at: float = 0.0
     began_at: float = 0.0
     longest_gap: float = 0.0
-    saved: int = 0
+    saved_events: int = 0
     generated: bool = False
-    held: bool = False
+    held_back: bool = False
 
     @functools.cached_property
     def fingerprint(self) -> str:
@@ -122,16 +122,16 @@
             self.events = list(partial.events)
             self.versions = list(partial.versions)
 
-    def partial(self) -> Partial | None:
+    def make_partial(self) -> Partial | None:
         """Return what was generated so far, for another agent; None if too long."""
         if not self.events or len(json.dumps(self.events)) > PARTIAL_SIZE:
             return None
         return Partial(self.item.id, tuple(self.events), tuple(self.versions))
 
     @property
-    def unsaved(self) -> bool:
+    def needs_saving(self) -> bool:
         """Whether so much was generated that it should be saved."""
-        return len(self.events) - self.saved >= EVENTS_TO_SAVE
+        return len(self.events) - self.saved_events >= EVENTS_TO_SAVE
 
     async def generate(self, server: BackendServer) -> Result | None:
         """Generate on one engine until the output is whole.
@@ -162,12 +162,14 @@
 
     def refused(self, refusal: StreamRefused) -> Result:
         """Count a refusal; return a result where the item can never be done."""
-        if refusal.run:
+        if refusal.counts_as_failure:
             self.failures += 1
         hopeless = refusal.status == UNPROCESSABLE or self.failures >= self.attempts
         if not hopeless:
             reason, replaced = str(refusal), refusal.replaced
-            raise StreamBroken(reason, replaced, sent=refusal.run) from refusal
+            raise StreamBroken(
+                reason, replaced, sent=refusal.counts_as_failure
+            ) from refusal
         return self.give_up(f"status {refusal.status}")
 
     def give_up(self, reason: str) -> Result:
@@ -210,7 +212,7 @@
         """Drop what was generated."""
         self.events.clear()
         self.versions.clear()
-        self.saved = 0
+        self.saved_events = 0
 
     async def score(self) -> str | HeldBack:
         """Have the whole text scored; tries until it is, or has failed too often.
--- a/gypsumshift/jobs/itemsteps.py
+++ b/gypsumshift/jobs/itemrunner.py
@@ -9,11 +9,11 @@
 from gypsumshift import logs
 from gypsumshift.clock import Clock
 from gypsumshift.eventstream import StreamBroken
-from gypsumshift.jobs.itemrun import PAUSE, ItemRun
+from gypsumshift.jobs.itemrun import RETRY_PAUSE, ItemRun
 from gypsumshift.jobs.model import Result
-from gypsumshift.jobs.rewards import RewardGate
+from gypsumshift.jobs.rewardlimiter import RewardLimiter
 from gypsumshift.jobs.station import Station
-from gypsumshift.jobs.weights import WeightKeeper
+from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import HeldBack
 from gypsumshift.platforms import RowStore
@@ -21,7 +21,7 @@
 from gypsumshift.serving.guard import Guard, Permit
 from gypsumshift.serving.liveness import is_gone
 
-__all__ = ["ItemSteps"]
+__all__ = ["ItemRunner"]
 
 # Longest wait of an item that is held back until it asks again, in seconds.
 HELD_PAUSE = 1.0
@@ -31,13 +31,13 @@
 log = logs.logger("units")
 
 
-class ItemSteps:
+class ItemRunner:
     """Owns the places of the engine and the gate, and takes items through them.
 
     Parameters
     ----------
     station : Station
-    weights : WeightKeeper
+    weights : WeightManager
     guard : Guard
     store : RowStore
         Tells the time by which items age.
@@ -55,7 +55,7 @@
     def __init__(
         self,
         station: Station,
-        weights: WeightKeeper,
+        weights: WeightManager,
         guard: Guard,
         store: RowStore,
         clock: Clock,
@@ -69,12 +69,12 @@
         self.clock = clock
         self.metrics = metrics
         self.changed = changed
-        self.rewards = RewardGate(clock, station.directory)
+        self.reward_limiter = RewardLimiter(clock, station.directory)
         self.places = asyncio.Semaphore(1)
         self.place_count = 1
         self.running: list[str] = []
 
-    def set_places(self, count: int) -> None:
+    def set_slot_count(self, count: int) -> None:
         """Let so many items run at once."""
         if count != self.place_count:
             self.place_count = count
@@ -84,8 +84,8 @@
         """Have an item scored that left its place."""
         self.changed()
         while True:
-            self.rewards.fit(run.item.reward)
-            async with self.rewards.enter(score_rank(run)):
+            self.reward_limiter.fit(run.item.reward)
+            async with self.reward_limiter.enter(score_rank(run)):
                 outcome = await run.finish()
             if isinstance(outcome, HeldBack):
                 # Not in the gate: the reward calls of the other items go on.
@@ -107,12 +107,12 @@
                 continue
             # An engine that loads a model's weights refuses its requests: asking
             # ten times a second was 4 of 10 requests on a calm day.
-            await self.clock.sleep(PAUSE)
+            await self.clock.sleep(RETRY_PAUSE)
 
     async def try_once(self, run: ItemRun) -> Result | HeldBack | None:
         """Generate one item, where the engine and the guard take it now."""
         server = self.station.server
-        if server is None or self.weights.loading == run.job.model:
+        if server is None or self.weights.loading_model == run.job.model:
             return None
         if self.guard.quarantine.keeps_apart(run.fingerprint, self.running):
             return None
@@ -152,13 +152,13 @@
         """
         if run.expired(self.store.now().total_seconds()):
             return run.give_up(held.reason)
-        run.held = True
+        run.held_back = True
         self.changed()
         pause = min(held.retry_after.total_seconds(), HELD_PAUSE)
         try:
             await self.clock.sleep(pause)
         finally:
-            run.held = False
+            run.held_back = False
         return None
 
     async def note_broken(
--- a/gypsumshift/jobs/partials.py
+++ b/gypsumshift/jobs/partials.py
@@ -6,7 +6,7 @@
 """
 
 from gypsumshift.clock import Clock
-from gypsumshift.jobs.itemrun import PAUSE, ItemRun
+from gypsumshift.jobs.itemrun import RETRY_PAUSE, ItemRun
 from gypsumshift.jobs.model import PARTIALS, Partial, parse_rows, to_row
 from gypsumshift.outcomes import Committed, Unavailable
 from gypsumshift.platforms import Row, RowStore, Write
@@ -39,7 +39,7 @@
 
     def writes(self, job: str, runs: list[ItemRun]) -> list[Write]:
         """Return the rows that hold what was generated of some items, one for each."""
-        partials = {self.key(run): run.partial() for run in runs}
+        partials = {self.key(run): run.make_partial() for run in runs}
         return [
             Write(PARTIALS, key, to_row(partial), part=job)
             for key, partial in partials.items()
@@ -48,7 +48,7 @@
 
     async def save(self, job: str, runs: list[ItemRun]) -> None:
         """Save what was generated of a job's items since they were saved last."""
-        due = [run for run in runs if run.unsaved]
+        due = [run for run in runs if run.needs_saving]
         for start in range(0, len(due), SAVED_AT_ONCE):
             await self.save_some(job, due[start : start + SAVED_AT_ONCE])
 
@@ -59,7 +59,7 @@
         if writes and not isinstance(await self.store.commit(writes), Committed):
             return
         for run, count in zip(runs, counts, strict=True):
-            run.saved = min(count, len(run.events))
+            run.saved_events = min(count, len(run.events))
 
     async def read(self, job: str, item: str) -> Partial | None:
         """Return the longest text that an agent left of an item."""
@@ -86,4 +86,4 @@
         rows = await store.scan(table, prefix, job)
         if not isinstance(rows, Unavailable):
             return rows
-        await clock.sleep(PAUSE)
+        await clock.sleep(RETRY_PAUSE)
--- a/gypsumshift/jobs/placement.py
+++ b/gypsumshift/jobs/placement.py
@@ -93,8 +93,8 @@
     """
 
     id: str
-    home: str = ""
-    usual: float = 0.0
+    assigned_model: str = ""
+    usual_pace: float = 0.0
 
 
 def assign(
@@ -136,8 +136,10 @@
 
 def slow_engines(engines: list[EngineView]) -> set[str]:
     """Return the ids of the engines that are built slower than the fastest one."""
-    best = min((engine.usual for engine in engines if engine.usual), default=0.0)
-    return {engine.id for engine in engines if is_slower(engine.usual, best)}
+    best = min(
+        (engine.usual_pace for engine in engines if engine.usual_pace), default=0.0
+    )
+    return {engine.id for engine in engines if is_slower(engine.usual_pace, best)}
 
 
 def by_length(engines, slow, models, lengths) -> list[str]:
@@ -145,7 +147,7 @@
 
     Where they are alike, the one that slow engines serve already comes first.
     """
-    homes = collections.Counter(e.home for e in engines if e.id in slow)
+    homes = collections.Counter(e.assigned_model for e in engines if e.id in slow)
 
     def rank(model: str) -> tuple[int, int, str]:
         length = max(lengths.get(model, 0), 1)
@@ -166,7 +168,7 @@
     shortest : str
         Model of the shortest items.
     """
-    homes = collections.Counter(engine.home for engine in engines)
+    homes = collections.Counter(engine.assigned_model for engine in engines)
     counts = {model: homes[model] for model in sorted(shares)}
 
     def load(model: str, fewer: int = 0) -> float:
@@ -211,7 +213,7 @@
 
 def seat_rank(model: str, slow, engine: EngineView) -> tuple[bool, int, str]:
     """Return the rank of an engine for a model: slow ones first, then who stays."""
-    stays = 0 if engine.home == model else 2 if engine.home else 1
+    stays = 0 if engine.assigned_model == model else 2 if engine.assigned_model else 1
     return (engine.id not in slow, stays, engine.id)
 
 
--- a/gypsumshift/jobs/gate.py
+++ b/gypsumshift/jobs/prioritysemaphore.py
@@ -6,10 +6,10 @@
 import itertools
 from collections.abc import AsyncIterator
 
-__all__ = ["Gate"]
+__all__ = ["PrioritySemaphore"]
 
 
-class Gate:
+class PrioritySemaphore:
     """Semaphore whose waiters are served by rank, then in the order of their coming.
 
     Parameters
--- a/gypsumshift/jobs/returns.py
+++ b/gypsumshift/jobs/returns.py
@@ -5,7 +5,7 @@
 
 from gypsumshift.clock import Clock
 from gypsumshift.jobs.claims import ClaimBoard
-from gypsumshift.jobs.itemrun import PAUSE
+from gypsumshift.jobs.itemrun import RETRY_PAUSE
 from gypsumshift.jobs.model import CLAIMS, Claim, to_row
 from gypsumshift.jobs.partials import Partials
 from gypsumshift.jobs.unit import UnitRun
@@ -79,7 +79,7 @@
         free = Write(CLAIMS, unit.key, to_row(Claim()), unit.version, part=unit.job.id)
         outcome = await self.store.commit([*writes, free])
         while not isinstance(outcome, (Committed, Conflict)):
-            await self.clock.sleep(PAUSE)
+            await self.clock.sleep(RETRY_PAUSE)
             outcome = await self.store.commit([*writes, free])
         if isinstance(outcome, Conflict):
             await self.learn(unit)
@@ -97,7 +97,7 @@
         """
         row = await self.store.read(CLAIMS, unit.key, unit.job.id)
         while isinstance(row, Unavailable) or self.is_old(row, unit):
-            await self.clock.sleep(PAUSE)
+            await self.clock.sleep(RETRY_PAUSE)
             row = await self.store.read(CLAIMS, unit.key, unit.job.id)
         if isinstance(row, Row):
             self.board.take_claims([row])
--- a/gypsumshift/jobs/rewards.py
+++ b/gypsumshift/jobs/rewardlimiter.py
@@ -13,11 +13,11 @@
 from collections.abc import AsyncIterator
 
 from gypsumshift.clock import Clock
-from gypsumshift.jobs.gate import Gate
 from gypsumshift.jobs.model import RewardCall
+from gypsumshift.jobs.prioritysemaphore import PrioritySemaphore
 from gypsumshift.serving.directory import Directory
 
-__all__ = ["RewardGate", "share_of_places"]
+__all__ = ["RewardLimiter", "share_of_places"]
 
 # Part of an application's places that reward calls of all agents may take, rounded up
 # for each agent. Half of 36 places carries the 280 calls of a step, of 80 ms each, in a
@@ -52,7 +52,7 @@
     return min(REWARD_SHARE * places / max(agents, 1), MOST)
 
 
-class RewardGate:
+class RewardLimiter:
     """Lets reward calls through, those of the lowest rank first.
 
     Parameters
@@ -65,7 +65,7 @@
     def __init__(self, clock: Clock, directory: Directory):
         self.clock = clock
         self.directory = directory
-        self.gate = Gate(1)
+        self.semaphore = PrioritySemaphore(1)
         self.share = UNKNOWN_SHARE
         self.pausing: set[asyncio.Task] = set()
 
@@ -82,12 +82,12 @@
     def set_share(self, share: float) -> None:
         """Let so many calls be under way; see `share_of_places`."""
         self.share = share
-        self.gate.resize(math.ceil(share))
+        self.semaphore.resize(math.ceil(share))
 
     @contextlib.asynccontextmanager
     async def enter(self, rank: tuple) -> AsyncIterator[None]:
         """Have a call under way for the time of the block."""
-        await self.gate.acquire(rank)
+        await self.semaphore.acquire(rank)
         began = self.clock.monotonic()
         try:
             yield
@@ -103,7 +103,7 @@
     def leave(self, pause: float) -> None:
         """Let the next call in, after a pause."""
         if not pause:
-            self.gate.release()
+            self.semaphore.release()
             return
         task = asyncio.create_task(self.release_after(pause))
         self.pausing.add(task)
@@ -112,4 +112,4 @@
     async def release_after(self, pause: float) -> None:
         """Let the next call in after a pause, which holds no result up."""
         await self.clock.sleep(pause)
-        self.gate.release()
+        self.semaphore.release()
--- a/gypsumshift/jobs/station.py
+++ b/gypsumshift/jobs/station.py
@@ -4,7 +4,7 @@
 
 from gypsumshift import logs
 from gypsumshift.clock import Clock
-from gypsumshift.jobs.engine import Engine, EngineReport
+from gypsumshift.jobs.engine import EngineClient, EngineReport
 from gypsumshift.serving.directory import BackendServer, Directory, ServerStart
 from gypsumshift.serving.routes import EngineLimits
 
@@ -42,7 +42,7 @@
     ----------
     home : Home
     directory : Directory
-    engine : Engine
+    engine : EngineClient
     clock : Clock
 
     Attributes
@@ -55,7 +55,9 @@
         Starts of the engine that are not at its address any more.
     """
 
-    def __init__(self, home: Home, directory: Directory, engine: Engine, clock: Clock):
+    def __init__(
+        self, home: Home, directory: Directory, engine: EngineClient, clock: Clock
+    ):
         self.home = home
         self.directory = directory
         self.engine = engine
@@ -121,7 +123,7 @@
     async def ask(self) -> EngineReport | None:
         """Ask the engine for a report; None where it gives none."""
         server = self.server
-        report = await self.engine.report(server) if server else None
+        report = await self.engine.fetch_report(server) if server else None
         if report is None or not self.tells_of(report, self.server):
             return None
         self.reported_start = self.server.start
--- a/gypsumshift/jobs/unit.py
+++ b/gypsumshift/jobs/unit.py
@@ -44,7 +44,7 @@
     def generating(self) -> list[ItemRun]:
         """Items that take a place of the engine, or are about to."""
         runs = self.runs.values()
-        return [run for run in runs if not (run.generated or run.held)]
+        return [run for run in runs if not (run.generated or run.held_back)]
 
     @property
     def load(self) -> int:
--- a/gypsumshift/jobs/mover.py
+++ b/gypsumshift/jobs/unitmigrator.py
@@ -10,10 +10,10 @@
 from gypsumshift.jobs.heart import Heart
 from gypsumshift.jobs.schedule import long_units
 from gypsumshift.jobs.unit import UnitRun
-from gypsumshift.jobs.unitruns import UnitRunner
-from gypsumshift.jobs.weights import WeightKeeper
+from gypsumshift.jobs.unitrunner import UnitRunner
+from gypsumshift.jobs.weights import WeightManager
 
-__all__ = ["Mover"]
+__all__ = ["UnitMigrator"]
 
 # An item goes where its estimate is this many times the usual one, and within so many
 # seconds of its claim: an engine's pace is known after half a second of its first step.
@@ -23,13 +23,13 @@
 MOVE_WITHIN = 3.0
 
 
-class Mover:
+class UnitMigrator:
     """Gives long items back that a faster engine would end sooner.
 
     Parameters
     ----------
     heart : Heart
-    weights : WeightKeeper
+    weights : WeightManager
     board : ClaimBoard
     runner : UnitRunner
     clock : Clock
@@ -45,7 +45,7 @@
     def __init__(
         self,
         heart: Heart,
-        weights: WeightKeeper,
+        weights: WeightManager,
         board: ClaimBoard,
         runner: UnitRunner,
         clock: Clock,
@@ -55,14 +55,16 @@
         self.board = board
         self.runner = runner
         self.clock = clock
-        self.slower: dict[str, int] = {}
-        self.moved: set[tuple[str, str]] = set()
+        self.faster_free_slots: dict[str, int] = {}
+        self.migrated: set[tuple[str, str]] = set()
 
-    def look(self) -> None:
+    def migrate_long_units(self) -> None:
         """Find the models that faster engines serve too; move long items of them."""
-        self.moved = {place for place in self.moved if place[0] in self.board.open}
-        self.slower = self.slower_models()
-        for model, places in self.slower.items():
+        self.migrated = {
+            place for place in self.migrated if place[0] in self.board.open
+        }
+        self.faster_free_slots = self.slower_models()
+        for model, places in self.faster_free_slots.items():
             self.move(model, places)
 
     def slower_models(self) -> dict[str, int]:
@@ -73,8 +75,8 @@
         usual = self.heart.usual_pace()
         found = {}
         running = {unit.job.model for unit in self.runner.units.values()}
-        for model in sorted(running | set(self.weights.models())):
-            faster = self.board.peers.faster(usual, self.weights.engines(model))
+        for model in sorted(running | set(self.weights.assigned_models())):
+            faster = self.board.peers.faster(usual, self.weights.engines_serving(model))
             if faster:
                 found[model] = sum(beat.places for beat in faster)
         return found
@@ -85,8 +87,8 @@
             places -= unit.load
             if places < 0:
                 return
-            self.moved.add((unit.job.id, unit.key))
-            self.runner.hand_over(unit, "a faster engine has room")
+            self.migrated.add((unit.job.id, unit.key))
+            self.runner.hand_over_unit(unit, "a faster engine has room")
 
     def movable(self, model: str) -> list[UnitRun]:
         """Return the units of a model that a faster engine would end sooner."""
@@ -97,6 +99,6 @@
             if unit.job.model == model
             and unit.claimed_at > since
             and "" not in unit.tasks
-            and (unit.job.id, unit.key) not in self.moved
+            and (unit.job.id, unit.key) not in self.migrated
             and unit.key in long_units(unit.job, MOVE_FACTOR)
         ]
--- a/gypsumshift/jobs/unitruns.py
+++ b/gypsumshift/jobs/unitrunner.py
@@ -10,8 +10,8 @@
 from gypsumshift.clock import Clock
 from gypsumshift.jobs.claims import Candidate, ClaimBoard
 from gypsumshift.jobs.committer import Committer, Finished
-from gypsumshift.jobs.itemrun import PAUSE, ItemRun
-from gypsumshift.jobs.itemsteps import ItemSteps
+from gypsumshift.jobs.itemrun import RETRY_PAUSE, ItemRun
+from gypsumshift.jobs.itemrunner import ItemRunner
 from gypsumshift.jobs.model import (
     CLAIMS,
     RESULTS,
@@ -30,7 +30,7 @@
 from gypsumshift.jobs.returns import Returns
 from gypsumshift.jobs.station import Station
 from gypsumshift.jobs.unit import UnitRun
-from gypsumshift.jobs.weights import WeightKeeper
+from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.metrics import Metrics
 from gypsumshift.platforms import Row, RowStore, Write
 from gypsumshift.serving.forwarder import Forwarder
@@ -53,7 +53,7 @@
         What the agent writes where it claims.
     store : RowStore
     station : Station
-    weights : WeightKeeper
+    weights : WeightManager
     board : ClaimBoard
     forwarder : Forwarder
         For reward calls; its guard is asked for items, too.
@@ -69,7 +69,7 @@
         own: Claim,
         store: RowStore,
         station: Station,
-        weights: WeightKeeper,
+        weights: WeightManager,
         board: ClaimBoard,
         forwarder: Forwarder,
         names: HeaderNames,
@@ -91,7 +91,7 @@
         self.committer = Committer(store, clock)
         self.partials = Partials(store, own.session, clock)
         self.units: dict[tuple[str, str], UnitRun] = {}
-        self.steps = ItemSteps(
+        self.item_runner = ItemRunner(
             station, weights, forwarder.guard, store, clock, metrics, changed
         )
         self.returns = Returns(store, board, self.partials, clock, changed)
@@ -111,18 +111,18 @@
         return tuple(size for unit in self.units.values() for size in unit.sizes)
 
     @property
-    def scoring(self) -> int:
+    def scoring_count(self) -> int:
         """Items that were generated and wait for their scores."""
         runs = (run for unit in self.units.values() for run in unit.runs.values())
-        return sum(run.generated and not run.held for run in runs)
+        return sum(run.generated and not run.held_back for run in runs)
 
-    def drop_ended(self) -> None:
+    def drop_ended_jobs(self) -> None:
         """Stop the units whose jobs have ended."""
         for unit in list(self.units.values()):
             if unit.job.id in self.board.ended:
                 self.drop(unit)
 
-    def note_claim(self, row: Row) -> None:
+    def drop_if_taken_over(self, row: Row) -> None:
         """Let go of a unit that another agent holds by the store."""
         unit = self.units.get((row.part, row.key))
         if unit is None or row.value is None or row.version <= unit.version:
@@ -132,7 +132,7 @@
             logs.event(log, "Another agent runs a unit.", job=row.part, unit=row.key)
             self.drop(unit)
 
-    def start(self, candidate: Candidate, version: int) -> None:
+    def start_unit(self, candidate: Candidate, version: int) -> None:
         """Run a claimed unit."""
         job, summary = candidate.job, candidate.unit
         if job.id in self.board.ended or (job.id, summary.key) in self.units:
@@ -185,7 +185,7 @@
             row = await self.store.read(UNITS, unit.key, unit.job.id)
             if isinstance(row, Row):
                 return row
-            await self.clock.sleep(PAUSE)
+            await self.clock.sleep(RETRY_PAUSE)
 
     def start_item(self, unit: UnitRun, item: Item, partial: Partial | None) -> None:
         """Run one item in a task of its own."""
@@ -224,10 +224,10 @@
     async def run_item(self, unit: UnitRun, run: ItemRun) -> None:
         """Generate, score and store one item."""
         claimed = self.clock.monotonic()
-        result = await self.steps.generate(run)
+        result = await self.item_runner.generate(run)
         generated = self.clock.monotonic()
         if result is None:
-            result = await self.steps.score(run)
+            result = await self.item_runner.score(run)
         now = self.clock.monotonic()
         logs.event(
             log,
@@ -251,7 +251,7 @@
         unit.tasks.pop(run.item.id, None)
         unit.runs.pop(run.item.id, None)
         last = None if unit.tasks else self.finish(unit)
-        partial = self.partials.key(run) if run.saved else ""
+        partial = self.partials.key(run) if run.saved_events else ""
         self.committer.put(Finished(unit.job.id, unit.key, result, last, partial))
         self.changed()
 
@@ -277,9 +277,9 @@
 
     def hand_over_all(self, reason: str) -> list[asyncio.Task]:
         """Give all units back, with what was generated of them."""
-        return [self.hand_over(unit, reason) for unit in list(self.units.values())]
+        return [self.hand_over_unit(unit, reason) for unit in list(self.units.values())]
 
-    def hand_over(self, unit: UnitRun, reason: str) -> asyncio.Task:
+    def hand_over_unit(self, unit: UnitRun, reason: str) -> asyncio.Task:
         """Give a unit back, with what was generated of it."""
         self.drop(unit)
         logs.event(
@@ -292,7 +292,7 @@
         )
         return self.returns.begin(unit)
 
-    async def save(self) -> None:
+    async def save_partials(self) -> None:
         """Save what long runs have generated."""
         runs: dict[str, list[ItemRun]] = {}
         for unit in self.units.values():
@@ -300,7 +300,7 @@
         for job, own in runs.items():
             await self.partials.save(job, own)
 
-    async def leave(self) -> None:
+    async def drain(self) -> None:
         """Give all units back, and wait until results are stored."""
         given = self.hand_over_all("this process stops")
         if given:
--- a/gypsumshift/jobs/weights.py
+++ b/gypsumshift/jobs/weights.py
@@ -6,14 +6,14 @@
 from gypsumshift.clock import Clock
 from gypsumshift.jobs import placement
 from gypsumshift.jobs.claims import ClaimBoard
-from gypsumshift.jobs.engine import EngineReport, VersionOrder
+from gypsumshift.jobs.engine import EngineReport, WeightLoadOrder
 from gypsumshift.jobs.model import Job
 from gypsumshift.jobs.station import Station
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import Answered
 from gypsumshift.policy import DEFAULT, Policy
 
-__all__ = ["WeightKeeper"]
+__all__ = ["WeightManager"]
 
 # Seconds before an order without an answer is given again.
 ORDER_RETRY = 1.0
@@ -30,7 +30,7 @@
 log = logs.logger("weights")
 
 
-class WeightKeeper:
+class WeightManager:
     """Gives an engine its orders; nobody else does.
 
     Parameters
@@ -69,7 +69,7 @@
         self.metrics = metrics
         self.demand = placement.Demand()
         self.fence = 0
-        self.loading = ""
+        self.loading_model = ""
         self.order_at = float("-inf")
         self.named_at: dict[str, tuple[int, float]] = {}
         self.slack: dict[str, int] = {}
@@ -102,14 +102,14 @@
     def considered(self, engine: placement.EngineView) -> placement.EngineView:
         """Return what the policy lets count of an engine."""
         if not self.policy.settled_models:
-            engine = attrs.evolve(engine, home="")
+            engine = attrs.evolve(engine, assigned_model="")
         if not self.policy.slow_engines_short_items:
-            engine = attrs.evolve(engine, usual=0.0)
+            engine = attrs.evolve(engine, usual_pace=0.0)
         return engine
 
-    def home(self) -> str:
+    def assigned_model(self) -> str:
         """Return the model that the engine is set to serve; empty for several."""
-        models = self.models()
+        models = self.assigned_models()
         return models[0] if len(models) == 1 else ""
 
     def ready_versions(self) -> dict[str, int]:
@@ -119,21 +119,21 @@
 
     def holds_back(self, model: str) -> bool:
         """Tell whether the engine loads weights of a model now or is about to."""
-        if model == self.loading:
+        if model == self.loading_model:
             return True
         report = self.station.report
-        if report is None or model not in self.models():
+        if report is None or model not in self.assigned_models():
             return False
-        asked = self.question(report, model, self.engines(model))
+        asked = self.question(report, model, self.engines_serving(model))
         due = asked.named_since < ORDER_DUE
         return due and placement.choose_load(asked) is not None
 
-    def engines(self, model: str) -> list[str]:
+    def engines_serving(self, model: str) -> list[str]:
         """Return the ids of the engines that serve a model, in the order of turns."""
         placed = self.placed()
         return [engine for engine in sorted(placed) if model in placed[engine]]
 
-    def models(self) -> tuple[str, ...]:
+    def assigned_models(self) -> tuple[str, ...]:
         """Return the models that the engine is to serve."""
         server = self.station.server
         return self.placed().get(server.id, ()) if server else ()
@@ -142,22 +142,22 @@
         """Take a report: an engine that is not busy has loaded."""
         settled = self.clock.monotonic() - self.order_at > ORDER_SETTLE
         if not report.busy and settled:
-            self.loading = ""
+            self.loading_model = ""
 
-    def forget_start(self) -> None:
+    def reset_load_state(self) -> None:
         """Take that the engine started again: its orders are those of another."""
-        self.loading = ""
+        self.loading_model = ""
         self.order_at = float("-inf")
 
-    async def bring(self, report: EngineReport) -> None:
+    async def order_due_load(self, report: EngineReport) -> None:
         """Order newer weights where they are due."""
         server = self.station.server
         if server is None or report.busy or not self.fence:
             return
         if self.clock.monotonic() - self.order_at < ORDER_RETRY:
             return
-        for model in self.models():
-            asked = self.question(report, model, self.engines(model))
+        for model in self.assigned_models():
+            asked = self.question(report, model, self.engines_serving(model))
             choice = placement.choose_load(asked)
             if choice is not None:
                 await self.give_order(server, report, choice)
@@ -200,14 +200,14 @@
     async def give_order(self, server, report, choice) -> None:
         """Order the engine to load weights."""
         holder = self.station.home.name
-        order = VersionOrder(
+        order = WeightLoadOrder(
             choice.model, choice.version, holder, self.fence, report.orders
         )
         self.order_at = self.clock.monotonic()
-        answer = await self.station.engine.order(server, order)
+        answer = await self.station.engine.send_order(server, order)
         status = answer.status if isinstance(answer, Answered) else 0
         self.metrics.count("orders", status=str(status))
-        self.loading = choice.model if status in ACCEPTED else ""
+        self.loading_model = choice.model if status in ACCEPTED else ""
         logs.event(
             log,
             "Ordered new weights.",
--- a/tests/jobs_world.py
+++ b/tests/jobs_world.py
@@ -176,13 +176,13 @@
         finally:
             self.running.discard(item.id)
 
-    async def report(self, server):
+    async def fetch_report(self, server):
         if not self.serves:
             return None
         busy = self.busy and bool(self.orders)
         return EngineReport({MODEL: self.version}, busy, len(self.orders), 0, 0)
 
-    async def order(self, server, order):
+    async def send_order(self, server, order):
         self.orders.append(order)
         if not self.busy:
             self.version = order.version
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -69,11 +69,11 @@
     agent, engine = await busy_agent(world)
     ((job_id, key), unit) = next(iter(agent.runner.units.items()))
     again = Candidate(unit.job, unit.job.units[0], unit.version, True)
-    agent.runner.start(again, unit.version)
+    agent.runner.start_unit(again, unit.version)
     await world.store.commit([Write(JOBS, END_KEY, {"ended": True}, part=job_id)])
     await until(lambda: not engine.running)
     assert len(engine.started) == 2, "the second start ran the items again"
-    agent.runner.start(again, unit.version)
+    agent.runner.start_unit(again, unit.version)
     assert not agent.runner.units, "a unit of an ended job was started"
 
 
@@ -157,7 +157,7 @@
     engine.busy = True
     agent = world.agent("a", engine)
     agent.station.directory.set_version(MODEL, 3)
-    await until(lambda: agent.weights.loading == MODEL)
+    await until(lambda: agent.weights.loading_model == MODEL)
     await world.submit(groups=1)
     await until(lambda: "job" in agent.board.open)
     await agent.claim_all()
@@ -189,7 +189,7 @@
     assert agent.runner.load == 0
     agent.runner.forwarder.hold.set()
     await world.results()
-    assert agent.runner.scoring == 0
+    assert agent.runner.scoring_count == 0
 
 
 @scenario
@@ -198,7 +198,7 @@
     agent = world.agent("a", engine)
     agent.runner.forwarder.hold.clear()
     await world.submit(groups=7)
-    await until(lambda: agent.runner.scoring == 8)
+    await until(lambda: agent.runner.scoring_count == 8)
     await agent.claim_all()
     assert len(engine.started) == 8, "two rounds of four places wait for scores"
     agent.runner.forwarder.hold.set()
@@ -215,8 +215,8 @@
     engine.hold.clear()
     agent = world.agent("a", engine)
     await world.submit(groups=1, size=1)
-    await until(lambda: any(run.unsaved for run in runs_of(agent)))
-    await agent.runner.save()
+    await until(lambda: any(run.needs_saving for run in runs_of(agent)))
+    await agent.runner.save_partials()
     (saved,) = await world.store.scan(PARTIALS, "", "job")
     return agent, engine, len(saved.value["events"])
 
@@ -250,7 +250,7 @@
     await until(lambda: engine.running)
     (run,) = runs_of(agent)
     run.events[:] = ["x" * 40_000] * 2
-    assert run.partial() is None
+    assert run.make_partial() is None
 
 
 @scenario
--- a/tests/test_fatal_items.py
+++ b/tests/test_fatal_items.py
@@ -44,8 +44,8 @@
     async def refuses(self, address, timeout):
         return not self.up
 
-    async def report(self, server):
-        return await super().report(server) if self.up else None
+    async def fetch_report(self, server):
+        return await super().fetch_report(server) if self.up else None
 
     async def stream(self, server, item, host, after, urgency):
         if not self.up:
@@ -253,7 +253,7 @@
         assert len(done) == 7 and POISON not in done
         assert HoldsOne.sent <= MOST_ENDS + 10, "it asks about once a second"
         (agent,) = world.agents.values()
-        assert agent.runner.scoring == 0
+        assert agent.runner.scoring_count == 0
 
     play(scenario, names="a", forwarder=HoldsOne)
 
--- a/tests/test_late_answers.py
+++ b/tests/test_late_answers.py
@@ -154,7 +154,7 @@
         engine.stuck["job-1-0"].set()
         await until(lambda: len(committer.waiting["job"]) == 3)
         first = agent.runner.units["job", units[1].key]
-        agent.runner.hand_over(first, "the engine is slow")
+        agent.runner.hand_over_unit(first, "the engine is slow")
         await until(
             lambda: agent.runner.units.get(("job", units[1].key)) not in (None, first)
         )
--- a/tests/test_late_machine.py
+++ b/tests/test_late_machine.py
@@ -138,7 +138,7 @@
             self.start(name)
         elif agent.runner.units and self.chance.random() < 0.5:
             units = list(agent.runner.units.values())
-            agent.runner.hand_over(self.chance.choice(units), "chance")
+            agent.runner.hand_over_unit(self.chance.choice(units), "chance")
         await asyncio.sleep(self.chance.uniform(0.0, 0.5))
 
     async def play(self):
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -153,8 +153,8 @@
 async def test_long_items_go_also_where_their_engine_serves_another_model(world: World):
     """An engine found to be slower changes its model while the first step runs."""
     agent, _ = await slower_agent(world)
-    agent.weights.models = lambda: ("another",)
-    agent.weights.engines = lambda model: ["e-fast", "e-slow"]
+    agent.weights.assigned_models = lambda: ("another",)
+    agent.weights.engines_serving = lambda model: ["e-fast", "e-slow"]
     await tell_of_a_faster_engine(world)
     rows = await saved_rows(world)
     assert {row.key.split("/")[0] for row in rows} == {"job-1-0", "job-1-1"}
@@ -164,6 +164,6 @@
 async def test_units_that_went_are_forgotten_with_their_jobs(world: World):
     agent, _ = await slower_agent(world)
     await tell_of_a_faster_engine(world)
-    await until(lambda: agent.mover.moved)
+    await until(lambda: agent.unit_migrator.migrated)
     agent.board.close("job")
-    await until(lambda: not agent.mover.moved)
+    await until(lambda: not agent.unit_migrator.migrated)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -21,7 +21,7 @@
 from gypsumshift.jobs.pace import Pace
 from gypsumshift.jobs.peers import SILENCE, Standing
 from gypsumshift.jobs.station import Home, Station
-from gypsumshift.jobs.weights import WeightKeeper
+from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import Unavailable, Unknown
 from gypsumshift.platforms import Row
@@ -99,7 +99,7 @@
         station = Station(
             Home(AGENT, SERVICE, ADDRESS), Directory(), FakeEngine(), self.clock
         )
-        weights = WeightKeeper(station, own, self.clock, METRICS)
+        weights = WeightManager(station, own, self.clock, METRICS)
         heart = Heart(
             session,
             station,
--- a/tests/test_gate.py
+++ b/tests/test_prioritysemaphore.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from gypsumshift.jobs.gate import Gate
+from gypsumshift.jobs.prioritysemaphore import PrioritySemaphore
 
 
 def play(test):
@@ -17,7 +17,7 @@
 
 def test_the_lowest_rank_is_let_in_first_and_equals_in_their_order():
     async def run():
-        gate, entered, leave = Gate(1), [], asyncio.Event()
+        gate, entered, leave = PrioritySemaphore(1), [], asyncio.Event()
         first = asyncio.create_task(hold(gate, (0, "first"), entered, leave))
         await asyncio.sleep(0)
         ranks = [(3, "a"), (1, "b"), (2, "c"), (1, "a")]
@@ -34,7 +34,7 @@
 
 def test_a_waiter_that_is_cancelled_leaves_no_place_behind():
     async def run():
-        gate, entered, leave = Gate(1), [], asyncio.Event()
+        gate, entered, leave = PrioritySemaphore(1), [], asyncio.Event()
         holder = asyncio.create_task(hold(gate, (0,), entered, leave))
         await asyncio.sleep(0)
         waiter = asyncio.create_task(hold(gate, (1,), entered, leave))
@@ -49,7 +49,7 @@
 
 def test_a_place_granted_to_a_waiter_that_is_being_cancelled_is_passed_on():
     async def run():
-        gate, entered, leave = Gate(1), [], asyncio.Event()
+        gate, entered, leave = PrioritySemaphore(1), [], asyncio.Event()
         await gate.acquire((0,))
         waiters = [
             asyncio.create_task(hold(gate, (rank,), entered, leave)) for rank in (1, 2)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -64,7 +64,7 @@
     def __init__(self, *reports):
         self.reports = list(reports)
 
-    async def report(self, server):
+    async def fetch_report(self, server):
         return self.reports.pop(0)
 
 
--- a/tests/test_rewards.py
+++ b/tests/test_rewardlimiter.py
@@ -6,14 +6,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gypsumshift.jobs.gate import Gate
 from gypsumshift.jobs.model import RewardCall
-from gypsumshift.jobs.rewards import MOST, RewardGate, share_of_places
+from gypsumshift.jobs.prioritysemaphore import PrioritySemaphore
+from gypsumshift.jobs.rewardlimiter import MOST, RewardLimiter, share_of_places
 from gypsumshift.serving import BackendServer, Directory
 from tests.builders import ManualClock
 from tests.jobs_world import HOST, FakeEngine, World, routes, server
 from tests.test_agent import scenario
-from tests.test_gate import hold, play
+from tests.test_prioritysemaphore import hold, play
 
 
 @pytest.mark.parametrize(
@@ -22,17 +22,17 @@
 )
 def test_calls_of_all_agents_at_once(places, agents, most):
     """Small fleets as before; 19 agents had 57 calls under way on 36 places."""
-    gate = RewardGate(ManualClock(), Directory())
+    gate = RewardLimiter(ManualClock(), Directory())
     gate.set_share(share_of_places(places, agents))
-    assert gate.gate.places * agents == most
+    assert gate.semaphore.places * agents == most
 
 
 @given(st.integers(1, 5000), st.integers(1, 5000), st.floats(0.01, 0.5))
 def test_calls_hold_about_half_of_the_places_over_time(places, agents, took):
     share = share_of_places(places, agents)
-    gate = RewardGate(ManualClock(), Directory())
+    gate = RewardLimiter(ManualClock(), Directory())
     gate.set_share(share)
-    busy = gate.gate.places * took / (took + gate.pause(took))
+    busy = gate.semaphore.places * took / (took + gate.pause(took))
     assert busy <= share + 1
     if 0.5 <= share < 1:
         assert busy == pytest.approx(share)
@@ -52,11 +52,11 @@
 
     async def run():
         clock = Paused()
-        gate = RewardGate(clock, Directory())
+        gate = RewardLimiter(clock, Directory())
         gate.set_share(0.5)
         async with gate.enter((0,)):
             clock.advance(0.2)
-        waiting = asyncio.create_task(gate.gate.acquire((0,)))
+        waiting = asyncio.create_task(gate.semaphore.acquire((0,)))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         assert clock.held == pytest.approx(0.2)
@@ -69,7 +69,7 @@
 
 def test_a_gate_that_shrinks_waits_for_those_inside():
     async def run():
-        gate, entered, leave = Gate(3), [], asyncio.Event()
+        gate, entered, leave = PrioritySemaphore(3), [], asyncio.Event()
         for _ in range(3):
             await gate.acquire((0,))
         gate.resize(1)
@@ -96,7 +96,9 @@
     agent = world.agent("a", FakeEngine())
     await world.submit(groups=4)
     assert len(await world.results()) == 8
-    assert agent.runner.steps.rewards.gate.places == 1, "the application is not listed"
+    assert agent.runner.item_runner.reward_limiter.semaphore.places == 1, (
+        "the application is not listed"
+    )
 
 
 def test_the_share_follows_from_what_is_listed():
@@ -107,7 +109,7 @@
         directory.set_server(BackendServer(f"app{number}", "app", address, "here", 6))
     for number in range(6):
         directory.set_server(server(f"e{number}"))
-    gate = RewardGate(ManualClock(), directory)
+    gate = RewardLimiter(ManualClock(), directory)
     gate.fit(RewardCall("r", HOST, "/score/", b""))
     assert gate.share == 3
     gate.fit(RewardCall("r", HOST, "/unknown/", b""))
