--- a/gypsumshift/agentnode.py
+++ b/gypsumshift/agentnode.py
@@ -5,9 +5,9 @@
 from gypsumshift import logs
 from gypsumshift.jobs.agent import Agent
 from gypsumshift.jobs.engine import EngineClient
-from gypsumshift.jobs.heart import STORE_WRITES
-from gypsumshift.jobs.presence import UNASKED, Presence
-from gypsumshift.jobs.station import Home
+from gypsumshift.jobs.heartbeatwriter import STORE_WRITES
+from gypsumshift.jobs.liveness import NO_PROBE, LivenessProbe
+from gypsumshift.jobs.localengine import AgentIdentity
 from gypsumshift.lifecycle import Node
 from gypsumshift.policy import DEFAULT, Policy
 from gypsumshift.serving.forwarder import Forwarder
@@ -25,7 +25,7 @@
 
     Parameters
     ----------
-    home : Home
+    identity : AgentIdentity
     store : RowStore
     directory : Directory
     watches : list of Watch
@@ -38,14 +38,14 @@
     chance : random.Random
     metrics : Metrics
     policy : Policy
-    presence : Presence
+    liveness : LivenessProbe
     store_writes : float
         Writes a second that the store takes from all processes.
     """
 
     def __init__(
         self,
-        home: Home,
+        identity: AgentIdentity,
         store,
         directory,
         watches,
@@ -57,7 +57,7 @@
         chance,
         metrics,
         policy: Policy = DEFAULT,
-        presence: Presence = UNASKED,
+        liveness: LivenessProbe = NO_PROBE,
         store_writes: float = STORE_WRITES,
     ):
         self.guard = Guard(store, clock, chance, metrics)
@@ -69,7 +69,7 @@
         forwarder = Forwarder(sender, self.guard, policy)
         engine = EngineClient(fetcher, names, protocol)
         self.agent = Agent(
-            home,
+            identity,
             store,
             directory,
             engine,
@@ -79,7 +79,7 @@
             chance,
             metrics,
             policy,
-            presence,
+            liveness,
             store_writes,
         )
 
@@ -96,7 +96,7 @@
         """Give the work back, within ``grace`` seconds."""
         try:
             async with asyncio.timeout(grace):
-                await self.agent.leave()
+                await self.agent.drain()
         except TimeoutError:
             # What could not be given back is free once the heartbeats stop.
             log.warning("Not all work was given back in {:.1f} s.", grace)
--- a/gypsumshift/jobs/agent.py
+++ b/gypsumshift/jobs/agent.py
@@ -11,10 +11,13 @@
 
 from gypsumshift import logs
 from gypsumshift.clock import Clock
+from gypsumshift.jobs.capacity import NO_CAPACITY, FreeCapacity
 from gypsumshift.jobs.claimer import Claimer
-from gypsumshift.jobs.claims import Candidate, ClaimBoard
+from gypsumshift.jobs.claimtracker import Candidate, ClaimTracker
 from gypsumshift.jobs.engine import EngineClient
-from gypsumshift.jobs.heart import STORE_WRITES, Heart
+from gypsumshift.jobs.heartbeatwriter import STORE_WRITES, HeartbeatWriter
+from gypsumshift.jobs.liveness import NO_PROBE, LivenessProbe
+from gypsumshift.jobs.localengine import AgentIdentity, LocalEngine
 from gypsumshift.jobs.model import (
     AGENTS,
     CLAIMS,
@@ -23,9 +26,6 @@
 )
 from gypsumshift.jobs.pace import is_slow
 from gypsumshift.jobs.peers import Peers
-from gypsumshift.jobs.presence import UNASKED, Presence
-from gypsumshift.jobs.room import NO_ROOM, Room
-from gypsumshift.jobs.station import Home, Station
 from gypsumshift.jobs.unitmigrator import UnitMigrator
 from gypsumshift.jobs.unitrunner import UnitRunner
 from gypsumshift.jobs.weights import WeightManager
@@ -43,7 +43,7 @@
 # Seconds between reports of the engine, which are free on its own host.
 REPORT_PERIOD = 0.2
 # Seconds after which the agent looks for work again though nothing was told.
-LOOK_PERIOD = 0.25
+CLAIM_PERIOD = 0.25
 # Seconds for which a slow engine gets nothing, and for which it then gets one unit at
 # a time, to be measured again: slowness was seen to last 6 to 8 s.
 SLOW_PAUSE = 2.0
@@ -51,7 +51,7 @@
 # Claims that an agent makes side by side. One after the other, each waited for the
 # last: while half of the store's answers were lost, items were claimed up to 3.1 s
 # after their step had come (logs of a play).
-CLAIMS_AT_ONCE = 3
+CONCURRENT_CLAIMS = 3
 # Seconds between answers of the table of agents: half of a heartbeat, by which a lost
 # agent is missed later.
 PEERS_GATHER = 0.2
@@ -91,7 +91,7 @@
 
     def __init__(
         self,
-        home: Home,
+        identity: AgentIdentity,
         store: RowStore,
         directory: Directory,
         engine: EngineClient,
@@ -101,93 +101,95 @@
         chance: random.Random,
         metrics: Metrics,
         policy: Policy = DEFAULT,
-        presence: Presence = UNASKED,
+        liveness: LivenessProbe = NO_PROBE,
         store_writes: float = STORE_WRITES,
     ):
-        self.home = home
+        self.identity = identity
         self.policy = policy
         self.store = store
         self.clock = clock
         self.metrics = metrics
-        self.own = Claim(home.name, f"{chance.getrandbits(64):016x}")
-        self.peers = Peers(self.own.session, clock, self.listened_at)
-        self.board = ClaimBoard(self.own.session, clock, chance, self.peers)
-        self.station = Station(home, directory, engine, clock)
-        self.weights = WeightManager(self.station, self.board, clock, metrics, policy)
-        self.news = [asyncio.Event() for _ in range(CLAIMS_AT_ONCE)]
+        self.own_claim = Claim(identity.name, f"{chance.getrandbits(64):016x}")
+        self.peers = Peers(self.own_claim.session, clock, self.peers_current_at)
+        self.tracker = ClaimTracker(self.own_claim.session, clock, chance, self.peers)
+        self.local_engine = LocalEngine(identity, directory, engine, clock)
+        self.weights = WeightManager(
+            self.local_engine, self.tracker, clock, metrics, policy
+        )
+        self.wake_events = [asyncio.Event() for _ in range(CONCURRENT_CLAIMS)]
         self.runner = UnitRunner(
-            self.own,
+            self.own_claim,
             store,
-            self.station,
+            self.local_engine,
             self.weights,
-            self.board,
+            self.tracker,
             forwarder,
             names,
             clock,
             metrics,
-            self.note_news,
+            self.wake,
         )
         self.claimer = Claimer(
-            self.own, store, self.board, self.runner, presence, clock, metrics
+            self.own_claim, store, self.tracker, self.runner, liveness, clock, metrics
         )
-        self.heart = Heart(
-            self.own.session,
-            self.station,
+        self.heartbeat_writer = HeartbeatWriter(
+            self.own_claim.session,
+            self.local_engine,
             self.weights,
-            self.board,
+            self.tracker,
             self.runner.pace,
             store,
             clock,
-            self.places,
+            self.free_slots,
             store_writes,
         )
         self.unit_migrator = UnitMigrator(
-            self.heart, self.weights, self.board, self.runner, clock
+            self.heartbeat_writer, self.weights, self.tracker, self.runner, clock
         )
         directory.on_restart.append(self.note_restart)
         self.slow_at = float("-inf")
-        self.leaving = False
+        self.draining = False
         peers = self.peers
         self.peer_watch = Watch(
             store,
             AGENTS,
-            peers.take,
-            peers.take,
+            peers.apply_rows,
+            peers.apply_rows,
             clock,
-            peers.note_store_back,
+            peers.note_store_recovered,
             gather=PEERS_GATHER,
         )
         self.watches = [
-            Watch(store, JOBS, self.take_jobs, self.take_jobs, clock),
-            Watch(store, CLAIMS, self.take_claims, self.take_claims, clock),
+            Watch(store, JOBS, self.apply_job_rows, self.apply_job_rows, clock),
+            Watch(store, CLAIMS, self.apply_claim_rows, self.apply_claim_rows, clock),
             self.peer_watch,
         ]
 
     # What is told.
 
-    def listened_at(self) -> float:
+    def peers_current_at(self) -> float:
         """Return when the store last told of the other agents, in seconds."""
         return self.peer_watch.current_at
 
-    def note_news(self) -> None:
+    def wake(self) -> None:
         """Have this agent look for work: there may be some, or room for it."""
-        for news in self.news:
+        for news in self.wake_events:
             news.set()
 
-    def take_jobs(self, rows: list[Row]) -> None:
+    def apply_job_rows(self, rows: list[Row]) -> None:
         """Take rows of the table of jobs."""
-        for job in self.board.take_jobs(rows):
+        for job in self.tracker.apply_job_rows(rows):
             if job.model:
                 self.weights.note_job(job)
         self.runner.drop_ended_jobs()
-        self.note_news()
+        self.wake()
 
-    def take_claims(self, rows: list[Row]) -> None:
+    def apply_claim_rows(self, rows: list[Row]) -> None:
         """Take rows of the table of claims."""
-        self.board.take_claims(rows)
+        self.tracker.apply_claim_rows(rows)
         for row in rows:
             self.runner.drop_if_taken_over(row)
-        self.note_news()
+        self.wake()
 
     def note_restart(self, old: BackendServer) -> None:
         """Forget what was believed of the engine's start that is no more.
@@ -195,13 +197,13 @@
         Its runs are at no engine any more; their streams are cut and go on from the
         events that are held.
         """
-        if old.address != self.home.address or old.service != self.home.service:
+        if old.address != self.identity.address or old.service != self.identity.service:
             return
-        self.station.forget_start()
+        self.local_engine.reset_report()
         self.weights.reset_load_state()
-        self.runner.pace.forget()
+        self.runner.pace.reset()
         self.slow_at = float("-inf")
-        self.note_news()
+        self.wake()
 
     # Tasks.
 
@@ -209,47 +211,47 @@
         """Work until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(run_all(self.watches))
-            group.create_task(self.heart.run())
-            group.create_task(self.tend())
-            for news in self.news:
-                group.create_task(self.look(news))
-            group.create_task(self.save_on())
+            group.create_task(self.heartbeat_writer.run())
+            group.create_task(self.run_engine_loop())
+            for news in self.wake_events:
+                group.create_task(self.run_claim_loop(news))
+            group.create_task(self.run_save_loop())
 
-    async def tend(self) -> None:
+    async def run_engine_loop(self) -> None:
         """Watch the engine, and bring it the weights that it needs."""
         while True:
-            await self.look_after_engine()
+            await self.update_engine()
             await self.clock.sleep(REPORT_PERIOD)
 
-    async def look_after_engine(self) -> None:
+    async def update_engine(self) -> None:
         """Ask for a report; hand work over or give an order where it calls for it."""
-        was_healthy, versions = self.station.healthy, self.weights.ready_versions()
-        report = await self.station.ask()
+        was_healthy, versions = self.local_engine.healthy, self.weights.ready_versions()
+        report = await self.local_engine.fetch_report()
         if report is not None:
             self.weights.note_report(report)
             if not was_healthy or versions != self.weights.ready_versions():
-                self.note_news()
-        if not self.station.healthy:
+                self.wake()
+        if not self.local_engine.healthy:
             # Claims that were carried out unanswered are given back as well.
-            self.claimer.adopt()
+            self.claimer.start_held_units()
             self.runner.hand_over_all("the engine does not serve")
             return
-        self.shed_if_slow()
+        self.hand_over_if_slow()
         if self.policy.long_items_to_faster:
             self.unit_migrator.migrate_long_units()
-        if report is not None and not self.leaving:
+        if report is not None and not self.draining:
             await self.weights.order_due_load(report)
 
-    def shed_if_slow(self) -> None:
+    def hand_over_if_slow(self) -> None:
         """Hand the items over where this engine is far behind its peers."""
         pace = self.runner.pace
-        own, peers = pace.value(), self.peers.paces()
+        own, peers = pace.current(), self.peers.paces()
         if self.weights.loading_model or not is_slow(own, peers):
             return
         if not self.policy.slow_handover:
             return
         self.slow_at = self.clock.monotonic()
-        pace.clear()
+        pace.clear_gaps()
         logs.event(
             log,
             "The engine is slow.",
@@ -259,84 +261,90 @@
         self.metrics.count("slow_engine")
         self.runner.hand_over_all("the engine is slow")
 
-    async def save_on(self) -> None:
+    async def run_save_loop(self) -> None:
         """Save what long runs have generated, again and again."""
         while True:
             await self.clock.sleep(SAVE_PERIOD)
             if self.policy.saved_runs:
                 await self.runner.save_partials()
 
-    def places(self) -> int:
+    def free_slots(self) -> int:
         """Return the items that the engine could take now."""
-        limits = self.station.limits
-        return self.room(limits).places if limits and self.station.healthy else 0
+        limits = self.local_engine.limits
+        return (
+            self.free_capacity(limits).free_slots
+            if limits and self.local_engine.healthy
+            else 0
+        )
 
-    def room(self, limits: EngineLimits) -> Room:
+    def free_capacity(self, limits: EngineLimits) -> FreeCapacity:
         """Return what the engine should be given beside what it runs."""
-        coming = self.claimer.coming()
+        coming = self.claimer.pending_units()
         load = self.runner.load + sum(len(unit.items) for unit in coming)
         since = self.clock.monotonic() - self.slow_at
         if since < SLOW_PAUSE:
-            return NO_ROOM
+            return NO_CAPACITY
         if since < SLOW_PROBATION and load:
-            return NO_ROOM
+            return NO_CAPACITY
         if self.runner.scoring_count >= SCORING_ROUNDS * limits.slots:
-            return NO_ROOM
+            return NO_CAPACITY
         sizes = [size for unit in coming for size in [unit.memory] * len(unit.items)]
-        return Room(limits.slots - load, limits.memory, (*self.runner.sizes, *sizes))
+        return FreeCapacity(
+            limits.slots - load, limits.memory, (*self.runner.sizes, *sizes)
+        )
 
-    async def look(self, news: asyncio.Event) -> None:
+    async def run_claim_loop(self, news: asyncio.Event) -> None:
         """Claim units while the engine has room."""
         while True:
             news.clear()
-            await self.claim_all()
+            await self.claim_units()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LOOK_PERIOD):
+                async with asyncio.timeout(CLAIM_PERIOD):
                     await news.wait()
 
-    async def claim_all(self) -> None:
+    async def claim_units(self) -> None:
         """Claim one unit after another."""
-        while not self.leaving and self.station.healthy:
-            limits = self.station.limits
+        while not self.draining and self.local_engine.healthy:
+            limits = self.local_engine.limits
             if limits is None:
                 return
             self.runner.item_runner.set_slot_count(limits.slots)
-            self.claimer.adopt()
-            candidate = self.board.choose(
+            self.claimer.start_held_units()
+            candidate = self.tracker.choose_candidate(
                 self.weights.assigned_models(),
                 self.weights.ready_versions(),
-                self.room(limits),
+                self.free_capacity(limits),
                 self.unit_migrator.faster_free_slots,
-                self.claimer.may_ask,
+                self.claimer.may_probe,
             )
             if candidate is None:
                 return
-            if candidate.silent and not await self.may_take(candidate, limits):
+            if candidate.silent_claim and not await self.may_claim(candidate, limits):
                 continue
             if not await self.claimer.claim(candidate):
                 return
 
-    async def may_take(self, candidate: Candidate, limits: EngineLimits) -> bool:
+    async def may_claim(self, candidate: Candidate, limits: EngineLimits) -> bool:
         """Tell whether a unit of a silent agent may be claimed, once it was asked.
 
         Meanwhile other claims may have taken the room, or this process been stopped.
         """
-        if not await self.claimer.may_take(candidate):
+        if not await self.claimer.may_claim(candidate):
             return False
         unit = candidate.unit
-        fits = self.room(limits).fits(len(unit.items), unit.memory)
-        return fits and not self.leaving
+        fits = self.free_capacity(limits).fits(len(unit.items), unit.memory)
+        return fits and not self.draining
 
-    async def leave(self) -> None:
+    async def drain(self) -> None:
         """Give all work back, and wait until results are stored.
 
         Claims that are on their way bring work as long as they are: not returned, a
         unit waits for others to miss this process, 1.5 s.
         """
-        self.leaving = True
+        self.draining = True
         while True:
-            self.claimer.adopt()
+            self.claimer.start_held_units()
             await self.runner.drain()
-            if not self.board.claiming and not self.runner.units:
+            if not self.tracker.pending_claims and not self.runner.units:
                 return
             await self.clock.sleep(LEAVE_PAUSE)
--- a/gypsumshift/jobs/room.py
+++ b/gypsumshift/jobs/capacity.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-__all__ = ["NO_ROOM", "Room"]
+__all__ = ["NO_CAPACITY", "FreeCapacity"]
 
 # Part of an engine's memory that estimates may fill. They are over by an eighth in the
 # mean, and items that begin one after the other do not end together. A third long item
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class Room:
+class FreeCapacity:
     """What an engine has room for.
 
     Attributes
@@ -29,7 +29,7 @@
         Tokens that each request that it runs is estimated to hold at its end.
     """
 
-    places: int
+    free_slots: int
     memory: int = 0
     running: tuple[int, ...] = ()
 
@@ -42,7 +42,7 @@
         tokens : int
             Estimated at the end of the longest one.
         """
-        if count > self.places:
+        if count > self.free_slots:
             return False
         # What is too large for every engine is refused by the first it comes to.
         alone = not self.running
@@ -63,4 +63,4 @@
         return max(rank * size for rank, size in enumerate(sizes, 1))
 
 
-NO_ROOM = Room(0)
+NO_CAPACITY = FreeCapacity(0)
--- a/gypsumshift/jobs/claims.py
+++ b/gypsumshift/jobs/claimtracker.py
@@ -13,6 +13,7 @@
 import attrs
 
 from gypsumshift.clock import Clock
+from gypsumshift.jobs.capacity import FreeCapacity
 from gypsumshift.jobs.model import (
     END_KEY,
     JOB_KEY,
@@ -22,26 +23,25 @@
     parse_row,
     parse_rows,
 )
-from gypsumshift.jobs.peers import Peers, Standing
-from gypsumshift.jobs.room import Room
+from gypsumshift.jobs.peers import HolderState, Peers
 from gypsumshift.jobs.schedule import LONG_FACTOR, begin_order, long_units
 from gypsumshift.platforms import ABSENT, Row
 
-__all__ = ["Candidate", "ClaimBoard", "Held"]
+__all__ = ["Candidate", "ClaimTracker", "StoredClaim"]
 
 # Seconds that a unit waits for an engine of its own model before another takes it.
 STEAL_AFTER = 0.8
 # Seconds that a unit of long items waits for an engine that is not slower than others
 # of its model. The longest items take 7.3 s of the 7.5 s that a step has, and 9.4 to
 # 10.2 s at an engine that is built slower; a place becomes free within a second.
-LEAVE_LONG = 1.0
+LONG_UNIT_WAIT = 1.0
 # Units that come next of which an agent takes any: a whole step arrives at all agents
 # at once, and where each took the very next unit, all but one lost each claim.
-SPREAD = 6
+CANDIDATES = 6
 
 
 @attrs.frozen
-class Held:
+class StoredClaim:
     """A claim as the store holds it.
 
     Attributes
@@ -78,11 +78,11 @@
     unit: UnitSummary
     version: int
     taken_over: bool
-    silent: Claim | None = None
+    silent_claim: Claim | None = None
 
 
 @attrs.define
-class Tracked:
+class OpenJob:
     """One job that is open.
 
     Attributes
@@ -99,14 +99,14 @@
     """
 
     job: Job
-    since: float
+    first_seen_at: float
     order: list[UnitSummary]
     short_order: list[UnitSummary]
-    long: frozenset[str]
-    claims: dict[str, Held] = attrs.field(factory=dict)
+    long_units: frozenset[str]
+    claims: dict[str, StoredClaim] = attrs.field(factory=dict)
 
 
-class ClaimBoard:
+class ClaimTracker:
     """What is known of open jobs and claims.
 
     Parameters
@@ -130,54 +130,54 @@
         self.clock = clock
         self.chance = chance
         self.peers = peers
-        self.open: dict[str, Tracked] = {}
-        self.ended: set[str] = set()
-        self.early: dict[str, dict[str, Held]] = {}
-        self.groups: dict[str, set[str]] = {}
-        self.claiming: dict[tuple[str, str], Candidate] = {}
+        self.open_jobs: dict[str, OpenJob] = {}
+        self.ended_jobs: set[str] = set()
+        self.early_claims: dict[str, dict[str, StoredClaim]] = {}
+        self.groups_by_job: dict[str, set[str]] = {}
+        self.pending_claims: dict[tuple[str, str], Candidate] = {}
 
-    def take_jobs(self, rows: list[Row]) -> list[Job]:
+    def apply_job_rows(self, rows: list[Row]) -> list[Job]:
         """Take rows of the table of jobs; return the jobs that are new."""
         new = []
         for row in rows:
             if row.value is None:
-                self.forget(row.part)
+                self.remove_job(row.part)
             elif row.key == END_KEY:
-                self.close(row.part)
-            elif row.key == JOB_KEY and not self.known(row.part):
+                self.close_job(row.part)
+            elif row.key == JOB_KEY and not self.is_known(row.part):
                 job = parse_row(row, Job)
-                if job is not None and self.add(row, job):
+                if job is not None and self.add_job(row, job):
                     new.append(job)
         return new
 
-    def known(self, job_id: str) -> bool:
+    def is_known(self, job_id: str) -> bool:
         """Tell whether a job was told before."""
-        return job_id in self.open or job_id in self.ended
+        return job_id in self.open_jobs or job_id in self.ended_jobs
 
-    def close(self, job_id: str) -> None:
+    def close_job(self, job_id: str) -> None:
         """Take the end of a job."""
-        self.ended.add(job_id)
-        self.open.pop(job_id, None)
-        self.early.pop(job_id, None)
+        self.ended_jobs.add(job_id)
+        self.open_jobs.pop(job_id, None)
+        self.early_claims.pop(job_id, None)
 
-    def forget(self, job_id: str) -> None:
+    def remove_job(self, job_id: str) -> None:
         """Take that a job is removed from the store."""
-        self.close(job_id)
-        self.ended.discard(job_id)
-        self.groups.pop(job_id, None)
+        self.close_job(job_id)
+        self.ended_jobs.discard(job_id)
+        self.groups_by_job.pop(job_id, None)
 
-    def groups_seen(self) -> set[str]:
+    def known_groups(self) -> set[str]:
         """Return the groups of the jobs that the store has."""
-        return set().union(*self.groups.values())
+        return set().union(*self.groups_by_job.values())
 
-    def add(self, row: Row, job: Job) -> bool:
+    def add_job(self, row: Row, job: Job) -> bool:
         """Take a new job; one that another writer put there is not taken."""
         if job.id != row.part:
             return False
-        seen = self.groups_seen()
-        self.groups[job.id] = {unit.group for unit in job.units}
-        claims = self.early.pop(job.id, {})
-        self.open[job.id] = Tracked(
+        seen = self.known_groups()
+        self.groups_by_job[job.id] = {unit.group for unit in job.units}
+        claims = self.early_claims.pop(job.id, {})
+        self.open_jobs[job.id] = OpenJob(
             job,
             self.clock.monotonic(),
             begin_order(job, seen),
@@ -187,85 +187,91 @@
         )
         return True
 
-    def take_claims(self, rows: list[Row]) -> None:
+    def apply_claim_rows(self, rows: list[Row]) -> None:
         """Take rows of the table of claims."""
-        current = [r for r in rows if r.value is not None and r.part not in self.ended]
+        current = [
+            r for r in rows if r.value is not None and r.part not in self.ended_jobs
+        ]
         for row, claim in parse_rows(current, Claim):
-            held = Held(claim, row.version, self.clock.monotonic())
-            tracked = self.open.get(row.part)
+            held = StoredClaim(claim, row.version, self.clock.monotonic())
+            tracked = self.open_jobs.get(row.part)
             # A claim may be told before its job, by another watch.
-            claims = tracked.claims if tracked else self.early.setdefault(row.part, {})
+            claims = (
+                tracked.claims
+                if tracked
+                else self.early_claims.setdefault(row.part, {})
+            )
             known = claims.get(row.key)
             if known is None or known.version < held.version or claim.done:
                 claims[row.key] = held
 
-    def free(self, held: Held | None) -> bool:
+    def is_free(self, held: StoredClaim | None) -> bool:
         """Tell whether a unit may be claimed, once a silent holder was asked."""
         if held is None or not held.claim.agent:
             return True
-        return not held.claim.done and self.standing(held) is not Standing.WORKS
+        return not held.claim.done and self.holder_state(held) is not HolderState.WORKS
 
-    def claimable(self, candidate: Candidate) -> bool:
+    def is_claimable(self, candidate: Candidate) -> bool:
         """Tell whether what made a unit a candidate still holds."""
         place = (candidate.job.id, candidate.unit.key)
-        held = self.held(*place)
+        held = self.find_claim(*place)
         version = held.version if held else ABSENT
-        unchanged = candidate.job.id in self.open and version == candidate.version
-        return unchanged and self.free(held) and place not in self.claiming
+        unchanged = candidate.job.id in self.open_jobs and version == candidate.version
+        return unchanged and self.is_free(held) and place not in self.pending_claims
 
-    def standing(self, held: Held) -> Standing:
+    def holder_state(self, held: StoredClaim) -> HolderState:
         """Return what is believed of the agent that holds a claim."""
-        return self.peers.standing(held.claim, held.seen_at, held.version)
+        return self.peers.holder_state(held.claim, held.seen_at, held.version)
 
-    def silent(self, held: Held | None) -> Claim | None:
+    def silent_claim(self, held: StoredClaim | None) -> Claim | None:
         """Return the claim whose holder is to be asked before its unit is taken."""
         if held is None or not held.claim.agent:
             return None
-        return held.claim if self.standing(held) is Standing.SILENT else None
+        return held.claim if self.holder_state(held) is HolderState.SILENT else None
 
-    def unit(self, job_id: str, key: str) -> UnitSummary | None:
+    def find_unit(self, job_id: str, key: str) -> UnitSummary | None:
         """Return a unit of an open job."""
-        tracked = self.open.get(job_id)
+        tracked = self.open_jobs.get(job_id)
         units = tracked.order if tracked else ()
         return next((unit for unit in units if unit.key == key), None)
 
-    def held(self, job_id: str, key: str) -> Held | None:
+    def find_claim(self, job_id: str, key: str) -> StoredClaim | None:
         """Return the claim of a unit of an open job; None where none is known."""
-        tracked = self.open.get(job_id)
+        tracked = self.open_jobs.get(job_id)
         return tracked.claims.get(key) if tracked else None
 
-    def is_own(self, held: Held | None) -> bool:
+    def is_own(self, held: StoredClaim | None) -> bool:
         """Tell whether a claim is this agent's, of a unit that is not done."""
         if held is None:
             return False
         return held.claim.session == self.session and not held.claim.done
 
-    def mine(self) -> list[tuple[Job, UnitSummary]]:
+    def own_units(self) -> list[tuple[Job, UnitSummary]]:
         """Return the units that this agent holds by the store and are not done."""
         return [
             (tracked.job, unit)
-            for tracked in self.open.values()
+            for tracked in self.open_jobs.values()
             for unit in tracked.order
             if self.is_own(tracked.claims.get(unit.key))
         ]
 
-    def waiting(self, model: str) -> int:
+    def version_for_waiting(self, model: str) -> int:
         """Return the oldest version that suits all waiting units of a model; -1."""
         versions = [
             tracked.job.oldest_version
-            for tracked in self.open.values()
+            for tracked in self.open_jobs.values()
             if tracked.job.model == model
-            and any(self.free(tracked.claims.get(u.key)) for u in tracked.order)
+            and any(self.is_free(tracked.claims.get(u.key)) for u in tracked.order)
         ]
         return max(versions, default=-1)
 
-    def choose(
+    def choose_candidate(
         self,
         models: Collection[str],
         versions: dict[str, int],
-        room: Room,
-        slower: Collection[str] = (),
-        ask: bool = True,
+        capacity: FreeCapacity,
+        slower_for: Collection[str] = (),
+        may_probe: bool = True,
     ) -> Candidate | None:
         """Return the unit to claim next; None where there is none.
 
@@ -287,46 +293,53 @@
         """
         now = self.clock.monotonic()
         found: list[Candidate] = []
-        for tracked in sorted(self.open.values(), key=lambda t: t.since):
+        for tracked in sorted(self.open_jobs.values(), key=lambda t: t.first_seen_at):
             job = tracked.job
             if job.model and versions.get(job.model, 0) < job.oldest_version:
                 continue
             own = not job.model or job.model in models
-            if not own and now - tracked.since < STEAL_AFTER:
+            if not own and now - tracked.first_seen_at < STEAL_AFTER:
                 continue
             silent: list[Candidate] = []
-            for candidate in self.candidates(tracked, room, job.model in slower):
-                (silent if candidate.silent else found).append(candidate)
-                if len(found) == SPREAD:
+            for candidate in self.candidates(
+                tracked, capacity, job.model in slower_for
+            ):
+                (silent if candidate.silent_claim else found).append(candidate)
+                if len(found) == CANDIDATES:
                     return self.chance.choice(found)
-            if silent and ask and not found:
+            if silent and may_probe and not found:
                 return self.chance.choice(silent)
         return self.chance.choice(found) if found else None
 
     def candidates(
-        self, tracked: Tracked, room: Room, slower: bool
+        self, tracked: OpenJob, capacity: FreeCapacity, slower: bool
     ) -> Iterator[Candidate]:
         """Yield the units of a job that may be claimed and for which there is room."""
         for unit in tracked.short_order if slower else tracked.order:
             held = tracked.claims.get(unit.key)
-            if not self.free(held) or (tracked.job.id, unit.key) in self.claiming:
+            if (
+                not self.is_free(held)
+                or (tracked.job.id, unit.key) in self.pending_claims
+            ):
                 continue
-            if slower and self.left_to_faster(tracked, unit):
+            if slower and self.is_left_to_faster(tracked, unit):
                 continue
-            if room.fits(len(unit.items), unit.memory):
+            if capacity.fits(len(unit.items), unit.memory):
                 version = held.version if held else ABSENT
                 before = held is not None
-                silent = self.silent(held)
+                silent = self.silent_claim(held)
                 yield Candidate(tracked.job, unit, version, before, silent)
 
-    def left_to_faster(self, tracked: Tracked, unit: UnitSummary) -> bool:
+    def is_left_to_faster(self, tracked: OpenJob, unit: UnitSummary) -> bool:
         """Tell whether a slower engine leaves a unit to the others of its model."""
         waited = self.clock.monotonic() - self.free_since(tracked, unit)
-        return unit.key in tracked.long and waited < LEAVE_LONG
+        return unit.key in tracked.long_units and waited < LONG_UNIT_WAIT
 
-    def free_since(self, tracked: Tracked, unit: UnitSummary) -> float:
+    def free_since(self, tracked: OpenJob, unit: UnitSummary) -> float:
         """Return since when a unit that is free has been so, in seconds."""
         held = tracked.claims.get(unit.key)
         if held is None:
-            return tracked.since
-        return max(tracked.since, self.peers.gone_since(held.claim, held.seen_at))
+            return tracked.first_seen_at
+        return max(
+            tracked.first_seen_at, self.peers.free_since(held.claim, held.seen_at)
+        )
--- a/gypsumshift/jobs/heart.py
+++ b/gypsumshift/jobs/heartbeatwriter.py
@@ -11,27 +11,27 @@
 
 from gypsumshift import logs
 from gypsumshift.clock import Clock
-from gypsumshift.jobs.claims import ClaimBoard
+from gypsumshift.jobs.claimtracker import ClaimTracker
+from gypsumshift.jobs.localengine import LocalEngine
 from gypsumshift.jobs.model import AGENTS, Heartbeat, to_row
 from gypsumshift.jobs.pace import Pace
-from gypsumshift.jobs.station import Station
 from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.outcomes import Committed, Conflict, Written
 from gypsumshift.platforms import ABSENT, Row, RowStore, Write
 from gypsumshift.serving.directory import ServerStart
 
-__all__ = ["STORE_WRITES", "Heart", "beat_part", "beat_period"]
+__all__ = ["STORE_WRITES", "HeartbeatWriter", "heartbeat_part", "heartbeat_period"]
 
 # Seconds between heartbeats of an agent in a small fleet: three are missed before it
 # is asked whether it works.
-HEARTBEAT = 0.4
+HEARTBEAT_PERIOD = 0.4
 # Part of the store's writes that heartbeats of all agents may take together. Agents
 # that beat each 0.4 s whatever their number take all 3,200 writes a second of a large
 # store with 1,280 of them; so they beat less often beyond 128 (each 5 s with 1,600).
-BEAT_SHARE = 0.1
+HEARTBEAT_SHARE = 0.1
 # Parts of the store over which heartbeats lie. A part takes 200 transactions a second,
 # and a tenth of the largest store's writes is 320.
-BEAT_PARTS = 8
+HEARTBEAT_PARTS = 8
 # Writes a second that a store is taken to carry where nobody says, as the smallest.
 STORE_WRITES = 800.0
 # Seconds between looks whether the table of agents was read.
@@ -40,7 +40,7 @@
 log = logs.logger("agent")
 
 
-class Heart:
+class HeartbeatWriter:
     """Writes an agent's heartbeats.
 
     Parameters
@@ -70,25 +70,25 @@
     def __init__(
         self,
         session: str,
-        station: Station,
+        local_engine: LocalEngine,
         weights: WeightManager,
-        board: ClaimBoard,
+        tracker: ClaimTracker,
         pace: Pace,
         store: RowStore,
         clock: Clock,
-        places: Callable[[], int],
+        free_slots: Callable[[], int],
         store_writes: float = STORE_WRITES,
     ):
         self.session = session
-        self.station = station
+        self.local_engine = local_engine
         self.weights = weights
-        self.board = board
+        self.tracker = tracker
         self.pace = pace
         self.store = store
         self.clock = clock
-        self.places = places
+        self.free_slots = free_slots
         self.store_writes = store_writes
-        self.told = Heartbeat("")
+        self.last = Heartbeat("")
         self.version = ABSENT
 
     async def run(self) -> None:
@@ -98,34 +98,34 @@
         the engine's model was lost, and after a restart of all hosts half of the
         engines changed theirs.
         """
-        while not self.board.peers.heard:
+        while not self.tracker.peers.table_read:
             await self.clock.sleep(READ_PERIOD)
-        self.told = self.board.peers.told(self.station.home.name)
+        self.last = self.tracker.peers.last_heartbeat(self.local_engine.identity.name)
         while True:
-            await self.beat()
-            agents = len(self.station.directory.engines())
-            await self.clock.sleep(beat_period(agents, self.store_writes))
+            await self.write_next()
+            agents = len(self.local_engine.directory.engines())
+            await self.clock.sleep(heartbeat_period(agents, self.store_writes))
 
-    async def beat(self) -> None:
+    async def write_next(self) -> None:
         """Write a heartbeat over the row as it is known here."""
-        self.told = self.heartbeat()
+        self.last = self.next_heartbeat()
         # The table of agents tells what a lost answer did not, without a further call.
-        told = self.board.peers.version(self.station.home.name)
+        told = self.tracker.peers.row_version(self.local_engine.identity.name)
         expected = max(self.version, told)
-        outcome = await self.write(expected)
+        outcome = await self.commit_last(expected)
         if isinstance(outcome, Conflict):
-            await self.settle(expected)
+            await self.resolve_conflict(expected)
 
-    async def write(self, expected: int | None) -> Written:
+    async def commit_last(self, expected: int | None) -> Written:
         """Write what is to be told, over a version of the row; None for any."""
-        name, value = self.station.home.name, to_row(self.told)
-        write = Write(AGENTS, name, value, expected, part=beat_part(name))
+        name, value = self.local_engine.identity.name, to_row(self.last)
+        write = Write(AGENTS, name, value, expected, part=heartbeat_part(name))
         outcome = await self.store.commit([write])
         if isinstance(outcome, Committed):
-            self.note_stands(outcome.version)
+            self.note_written(outcome.version)
         return outcome
 
-    async def settle(self, refused: int) -> None:
+    async def resolve_conflict(self, refused: int) -> None:
         """Go on from the row that is there, where a heartbeat was refused.
 
         One of this process tells that it works: an answer was lost, and no further
@@ -138,62 +138,64 @@
             Version that the row does not have; the store may serve an old copy to
             reads.
         """
-        name = self.station.home.name
-        row = await self.store.read(AGENTS, name, beat_part(name))
+        name = self.local_engine.identity.name
+        row = await self.store.read(AGENTS, name, heartbeat_part(name))
         if not isinstance(row, Row) or row.version <= refused:
-            await self.write(None)
+            await self.commit_last(None)
         elif row.value.get("session") == self.session:
-            self.note_stands(row.version)
+            self.note_written(row.version)
         else:
-            await self.write(row.version)
+            await self.commit_last(row.version)
 
-    def note_stands(self, version: int) -> None:
+    def note_written(self, version: int) -> None:
         """Take that a heartbeat stands; the first one's transaction is the fence."""
         self.version = version
         if not self.weights.fence:
             self.weights.fence = version
             logs.event(log, "This agent may give orders.", fence=version)
 
-    def heartbeat(self) -> Heartbeat:
+    def next_heartbeat(self) -> Heartbeat:
         """Return what there is to tell.
 
         Pace and model are those of one start of the engine; while none is listed, they
         stay as they were told.
         """
-        server = self.station.server
-        start = server.start if server else self.told.start
-        known = self.known(start)
-        beat = self.told.beat + 1 if self.told.session == self.session else 1
+        server = self.local_engine.server
+        start = server.start if server else self.last.start
+        known = self.last_for_start(start)
+        beat = self.last.beat + 1 if self.last.session == self.session else 1
         return Heartbeat(
             session=self.session,
             beat=beat,
-            pace=round(self.pace.value(), 5),
+            pace=round(self.pace.current(), 5),
             usual=round(self.usual(known), 5),
             engine=start.id,
             born=start.born,
-            places=self.places(),
+            places=self.free_slots(),
             home=self.weights.assigned_model() or known.home,
         )
 
     def usual_pace(self) -> float:
         """Return the engine's usual pace, as an earlier process knew it if need be."""
-        server = self.station.server
-        return self.usual(self.known(server.start) if server else Heartbeat(""))
+        server = self.local_engine.server
+        return self.usual(
+            self.last_for_start(server.start) if server else Heartbeat("")
+        )
 
     def usual(self, known: Heartbeat) -> float:
         """Return the usual pace as measured here, or else as it was told."""
         return self.pace.usual() or known.usual
 
-    def known(self, start: ServerStart) -> Heartbeat:
+    def last_for_start(self, start: ServerStart) -> Heartbeat:
         """Return what was told last of a start of the engine; empty of another one."""
-        return self.told if start == self.told.start else Heartbeat("")
+        return self.last if start == self.last.start else Heartbeat("")
 
 
-def beat_period(agents: int, store_writes: float) -> float:
+def heartbeat_period(agents: int, store_writes: float) -> float:
     """Return the seconds between two heartbeats of an agent, in a fleet of so many."""
-    return max(HEARTBEAT, agents / (BEAT_SHARE * store_writes))
+    return max(HEARTBEAT_PERIOD, agents / (HEARTBEAT_SHARE * store_writes))
 
 
-def beat_part(agent: str) -> str:
+def heartbeat_part(agent: str) -> str:
     """Return the part of the store in which the heartbeats of an agent lie."""
-    return str(zlib.crc32(agent.encode()) % BEAT_PARTS)
+    return str(zlib.crc32(agent.encode()) % HEARTBEAT_PARTS)
--- a/gypsumshift/jobs/itemrun.py
+++ b/gypsumshift/jobs/itemrun.py
@@ -203,7 +203,7 @@
         # The first event of a run waits for a slot and for the prompt.
         if self.progress_at:
             gap = now - self.progress_at
-            self.pace.note(gap)
+            self.pace.record_gap(gap)
             self.longest_gap = max(self.longest_gap, gap)
         self.progress_at = now
         self.began_at = self.began_at or now
--- a/gypsumshift/jobs/itemrunner.py
+++ b/gypsumshift/jobs/itemrunner.py
@@ -10,9 +10,9 @@
 from gypsumshift.clock import Clock
 from gypsumshift.eventstream import StreamBroken
 from gypsumshift.jobs.itemrun import RETRY_PAUSE, ItemRun
+from gypsumshift.jobs.localengine import LocalEngine
 from gypsumshift.jobs.model import Result
 from gypsumshift.jobs.rewardlimiter import RewardLimiter
-from gypsumshift.jobs.station import Station
 from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import HeldBack
@@ -36,7 +36,7 @@
 
     Parameters
     ----------
-    station : Station
+    local_engine : LocalEngine
     weights : WeightManager
     guard : Guard
     store : RowStore
@@ -54,7 +54,7 @@
 
     def __init__(
         self,
-        station: Station,
+        local_engine: LocalEngine,
         weights: WeightManager,
         guard: Guard,
         store: RowStore,
@@ -62,14 +62,14 @@
         metrics: Metrics,
         changed: Callable[[], None],
     ):
-        self.station = station
+        self.local_engine = local_engine
         self.weights = weights
         self.guard = guard
         self.store = store
         self.clock = clock
         self.metrics = metrics
         self.changed = changed
-        self.reward_limiter = RewardLimiter(clock, station.directory)
+        self.reward_limiter = RewardLimiter(clock, local_engine.directory)
         self.places = asyncio.Semaphore(1)
         self.place_count = 1
         self.running: list[str] = []
@@ -111,7 +111,7 @@
 
     async def try_once(self, run: ItemRun) -> Result | HeldBack | None:
         """Generate one item, where the engine and the guard take it now."""
-        server = self.station.server
+        server = self.local_engine.server
         if server is None or self.weights.loading_model == run.job.model:
             return None
         if self.guard.quarantine.keeps_apart(run.fingerprint, self.running):
@@ -165,12 +165,15 @@
         self, run: ItemRun, server: BackendServer, error: StreamBroken, permit: Permit
     ) -> None:
         """Take note of a stream that broke, and of an engine that ended; it goes on."""
-        directory, fetcher = self.station.directory, self.station.engine.fetcher
+        directory, fetcher = (
+            self.local_engine.directory,
+            self.local_engine.engine.fetcher,
+        )
         ended = error.closed and await is_gone(directory, fetcher, server)
         if ended:
             self.guard.note_end(permit, server.start)
         if error.replaced:
-            self.station.replaced.add(server.start)
+            self.local_engine.replaced_starts.add(server.start)
         self.metrics.count("broken_streams")
         logs.event(
             log,
--- a/gypsumshift/jobs/presence.py
+++ b/gypsumshift/jobs/liveness.py
@@ -16,37 +16,43 @@
 from gypsumshift.neighbours import StorePath
 from gypsumshift.server import Request, Response, json_response
 
-__all__ = ["ALIVE", "UNASKED", "Asked", "Presence", "Unasked"]
+__all__ = [
+    "LIVENESS_PATH",
+    "NO_PROBE",
+    "HttpLivenessProbe",
+    "LivenessProbe",
+    "NoLivenessProbe",
+]
 
 # Target by which an agent is asked.
-ALIVE = "/neighbour/alive"
+LIVENESS_PATH = "/neighbour/alive"
 # Seconds for an answer: a hundred round trips between zones, and less than half of the
 # silence after which it is asked.
-ASK_TIMEOUT = 0.3
+PROBE_TIMEOUT = 0.3
 
 log = logs.logger("presence")
 
 
-class Presence(abc.ABC):
+class LivenessProbe(abc.ABC):
     """Tells whether agents that were not heard for a while still work."""
 
     @abc.abstractmethod
-    async def works(self, claim: Claim) -> bool:
+    async def is_alive(self, claim: Claim) -> bool:
         """Tell whether the holder of a claim works, and can store what it makes."""
 
 
-class Unasked(Presence):
+class NoLivenessProbe(LivenessProbe):
     """Takes silent agents for gone: there is no way to ask them."""
 
-    async def works(self, claim):
+    async def is_alive(self, claim):
         """Tell that the holder does not work."""
         return False
 
 
-UNASKED = Unasked()
+NO_PROBE = NoLivenessProbe()
 
 
-class Asked(Presence):
+class HttpLivenessProbe(LivenessProbe):
     """Asks agents by the way on which processes help each other to the store.
 
     Parameters
@@ -64,14 +70,14 @@
         self.path = path
         self.session = ""
 
-    async def works(self, claim):
+    async def is_alive(self, claim):
         """Ask the holder of a claim."""
         neighbour = self.path.neighbours.get(claim.agent)
         if neighbour is None:
             return False
         try:
             answer = await self.path.fetcher.fetch(
-                neighbour.address, "GET", ALIVE, timeout=ASK_TIMEOUT
+                neighbour.address, "GET", LIVENESS_PATH, timeout=PROBE_TIMEOUT
             )
             told = json.loads(answer.body) if answer.status == 200 else {}
             session = told.get("session")
--- a/gypsumshift/jobs/station.py
+++ b/gypsumshift/jobs/localengine.py
@@ -8,7 +8,7 @@
 from gypsumshift.serving.directory import BackendServer, Directory, ServerStart
 from gypsumshift.serving.routes import EngineLimits
 
-__all__ = ["Home", "Station"]
+__all__ = ["AgentIdentity", "LocalEngine"]
 
 # Seconds without a report after which the engine's items go to other agents.
 REPORT_SILENCE = 0.9
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class Home:
+class AgentIdentity:
     """Where an agent stands.
 
     Attributes
@@ -35,7 +35,7 @@
     address: tuple[str, int]
 
 
-class Station:
+class LocalEngine:
     """Knows which start of the engine is there, and whether it serves.
 
     Parameters
@@ -56,16 +56,20 @@
     """
 
     def __init__(
-        self, home: Home, directory: Directory, engine: EngineClient, clock: Clock
+        self,
+        identity: AgentIdentity,
+        directory: Directory,
+        engine: EngineClient,
+        clock: Clock,
     ):
-        self.home = home
+        self.identity = identity
         self.directory = directory
         self.engine = engine
         self.clock = clock
         self.report: EngineReport | None = None
         self.reported_at = float("-inf")
         self.reported_start: ServerStart | None = None
-        self.replaced: set[ServerStart] = set()
+        self.replaced_starts: set[ServerStart] = set()
 
     @property
     def server(self) -> BackendServer | None:
@@ -73,9 +77,9 @@
         # The newest entry last: an engine that starts anew has a second entry until
         # its first lapses.
         for server in reversed(self.directory.servers.values()):
-            here = server.address == self.home.address
-            own = here and server.service == self.home.service
-            if own and server.ready and server.start not in self.replaced:
+            here = server.address == self.identity.address
+            own = here and server.service == self.identity.service
+            if own and server.ready and server.start not in self.replaced_starts:
                 return server
         return None
 
@@ -88,7 +92,7 @@
     @property
     def limits(self) -> EngineLimits | None:
         """What the engine can hold, by the configuration."""
-        service = self.directory.routes.services.get(self.home.service)
+        service = self.directory.routes.services.get(self.identity.service)
         return service.engine if service else None
 
     @property
@@ -101,17 +105,17 @@
         return self.report.versions
 
     @property
-    def peers(self) -> list[BackendServer]:
+    def service_engines(self) -> list[BackendServer]:
         """Ready engines of the service, this one among them."""
-        return self.directory.service(self.home.service)
+        return self.directory.service(self.identity.service)
 
-    def tells_of(self, report: EngineReport, server: BackendServer | None) -> bool:
+    def is_current(self, report: EngineReport, server: BackendServer | None) -> bool:
         """Tell whether a report is of the start that is listed now."""
         if server is None:
             return False
         return not (report.born and server.born) or report.born == server.born
 
-    def forget_start(self) -> None:
+    def reset_report(self) -> None:
         """Forget what the start of the engine told that is no more.
 
         The new one has as long for its first report as any: its runs go on there at
@@ -120,11 +124,11 @@
         self.report = None
         self.reported_at = self.clock.monotonic()
 
-    async def ask(self) -> EngineReport | None:
+    async def fetch_report(self) -> EngineReport | None:
         """Ask the engine for a report; None where it gives none."""
         server = self.server
         report = await self.engine.fetch_report(server) if server else None
-        if report is None or not self.tells_of(report, self.server):
+        if report is None or not self.is_current(report, self.server):
             return None
         self.reported_start = self.server.start
         if not self.healthy:
--- a/gypsumshift/jobs/pace.py
+++ b/gypsumshift/jobs/pace.py
@@ -14,11 +14,11 @@
 # Seconds of gaps between events that count: about the length of an item.
 WINDOW = 1.5
 # Gaps that are needed for a figure: below, a single pause would decide.
-LEAST_GAPS = 10
+MIN_GAPS = 10
 # Seconds of them that are needed. An engine that begins a dozen items with new weights
 # reads all their prompts anew, and gaps are two to three times as long for 0.2 s: two
 # healthy engines of five were taken for slow and handed 12 items over.
-LEAST_SPAN = 0.5
+MIN_SPAN = 0.5
 # Full engines generate half as fast again as idle ones; slow ones were seen to take
 # 2.5 to 4 times as long.
 SLOW_FACTOR = 2.0
@@ -29,7 +29,7 @@
 # slower were seen to take 1.28 times as long.
 SLOWER_FACTOR = 1.17
 # Peers that are needed to tell what is usual.
-LEAST_PEERS = 2
+MIN_PEERS = 2
 
 
 class Pace:
@@ -46,15 +46,15 @@
         self.medians: collections.deque[tuple[float, float]] = collections.deque()
         self.best = 0.0
 
-    def note(self, gap: float) -> None:
+    def record_gap(self, gap: float) -> None:
         """Take the seconds between two events of one stream."""
         self.gaps.append((self.clock.monotonic(), gap))
 
-    def clear(self) -> None:
+    def clear_gaps(self) -> None:
         """Forget all gaps: what made them has ended."""
         self.gaps.clear()
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Forget everything: another engine is there."""
         self.gaps.clear()
         self.medians.clear()
@@ -62,7 +62,7 @@
 
     def usual(self) -> float:
         """Return the best median of its last busy seconds; 0 where none is known."""
-        now, value = self.clock.monotonic(), self.value()
+        now, value = self.clock.monotonic(), self.current()
         if value:
             self.medians.append((now, value))
         while self.medians and self.medians[0][0] < now - USUAL_WINDOW:
@@ -71,14 +71,14 @@
             self.best = min(median for _, median in self.medians)
         return self.best
 
-    def value(self) -> float:
+    def current(self) -> float:
         """Return the median gap in seconds; 0 where too few are known."""
         horizon = self.clock.monotonic() - WINDOW
         while self.gaps and self.gaps[0][0] < horizon:
             self.gaps.popleft()
-        if len(self.gaps) < LEAST_GAPS:
+        if len(self.gaps) < MIN_GAPS:
             return 0.0
-        if self.clock.monotonic() - self.gaps[0][0] < LEAST_SPAN:
+        if self.clock.monotonic() - self.gaps[0][0] < MIN_SPAN:
             return 0.0
         return sorted(gap for _, gap in self.gaps)[len(self.gaps) // 2]
 
@@ -93,7 +93,7 @@
     peers : list of float
         Known paces of the other engines.
     """
-    if not own or len(peers) < LEAST_PEERS:
+    if not own or len(peers) < MIN_PEERS:
         return False
     usual = sorted(peers)[len(peers) // 2]
     return own > SLOW_FACTOR * usual
--- a/gypsumshift/jobs/peers.py
+++ b/gypsumshift/jobs/peers.py
@@ -19,23 +19,23 @@
 from gypsumshift.platforms import ABSENT, Row
 from gypsumshift.serving.directory import ServerStart
 
-__all__ = ["SILENCE", "Peers", "Standing"]
+__all__ = ["HEARTBEAT_TIMEOUT", "Peers", "HolderState"]
 
 # Seconds without a heartbeat after which an agent is asked whether it works. Of a host
 # that is lost with the longest items of a step, each second counts: with 2.6 s they
 # ended 10.9 s after their step came (logs of a play). Three heartbeats of a small
 # fleet; in a large one, agents beat less often and are asked more.
-SILENCE = 1.2
+HEARTBEAT_TIMEOUT = 1.2
 # Seconds since the table of agents was last told within which a silence counts. Less
 # than `SILENCE` by more than a heartbeat, so that nobody is missed between the last
 # heartbeat and an outage: agents took each other's units over in the moment of the
 # store's return (12 units in three plays with 5 engines), and what had been generated
 # meanwhile was lost.
-LISTENING = 0.7
+MAX_TABLE_AGE = 0.7
 
 
 @attrs.define
-class Pulse:
+class PeerState:
     """Heartbeat of one agent as seen here.
 
     Attributes
@@ -51,18 +51,20 @@
     """
 
     session: str
-    at: float
-    beat: Heartbeat = Heartbeat("")
+    seen_at: float
+    heartbeat: Heartbeat = Heartbeat("")
     version: int = ABSENT
-    since: float = attrs.field(default=attrs.Factory(lambda p: p.at, takes_self=True))
+    first_seen_at: float = attrs.field(
+        default=attrs.Factory(lambda p: p.seen_at, takes_self=True)
+    )
 
     @property
     def pace(self) -> float:
         """Seconds between two events at its engine now; 0 for unknown."""
-        return self.beat.pace
+        return self.heartbeat.pace
 
 
-class Standing(enum.Enum):
+class HolderState(enum.Enum):
     """What is believed of the agent that holds a claim."""
 
     WORKS = "works"
@@ -92,42 +94,44 @@
         self,
         session: str,
         clock: Clock,
-        listened_at: Callable[[], float] | None = None,
+        table_current_at: Callable[[], float] | None = None,
     ):
         self.session = session
         self.clock = clock
-        self.listened_at = listened_at or clock.monotonic
-        self.pulses: dict[str, Pulse] = {}
-        self.deaf_until = -math.inf
-        self.heard = False
+        self.table_current_at = table_current_at or clock.monotonic
+        self.states: dict[str, PeerState] = {}
+        self.recovered_at = -math.inf
+        self.table_read = False
 
-    def take(self, rows: list[Row]) -> None:
+    def apply_rows(self, rows: list[Row]) -> None:
         """Take rows of the table of agents.
 
         Those that are known are left out: in a table that is read anew, the last
         heartbeat of a lost host would be a sign of life for another 1.2 s.
         """
-        self.heard = True
+        self.table_read = True
         for row in rows:
-            if row.version > self.version(row.key):
-                self.take_newer(row)
+            if row.version > self.row_version(row.key):
+                self.apply_newer_row(row)
 
-    def take_newer(self, row: Row) -> None:
+    def apply_newer_row(self, row: Row) -> None:
         """Take a row that was written after the one known; without a value, its end."""
         removed = row.value is None
         beat = Heartbeat("") if removed else parse_row(row, Heartbeat)
         if beat is None:
             return
-        now, known = self.clock.monotonic(), self.pulses.get(row.key)
+        now, known = self.clock.monotonic(), self.states.get(row.key)
         same = known is not None and known.session == beat.session
-        since = known.since if same else now
-        self.pulses[row.key] = Pulse(beat.session, now, beat, row.version, since)
+        since = known.first_seen_at if same else now
+        self.states[row.key] = PeerState(beat.session, now, beat, row.version, since)
 
-    def note_store_back(self) -> None:
+    def note_store_recovered(self) -> None:
         """Take that nothing could be heard until now."""
-        self.deaf_until = self.clock.monotonic()
+        self.recovered_at = self.clock.monotonic()
 
-    def standing(self, claim: Claim, seen_at: float, version: int = ABSENT) -> Standing:
+    def holder_state(
+        self, claim: Claim, seen_at: float, version: int = ABSENT
+    ) -> HolderState:
         """Return whether the agent that holds a claim works on it, as far as is known.
 
         A claim is itself a sign of life, and heartbeats that could not be heard
@@ -144,69 +148,73 @@
             was written last tells of the one that lives, whichever was told last here.
         """
         if claim.session == self.session:
-            return Standing.WORKS
-        heard, pulse = seen_at, self.pulses.get(claim.agent)
+            return HolderState.WORKS
+        heard, pulse = seen_at, self.states.get(claim.agent)
         if pulse is not None and pulse.session == claim.session:
-            heard = max(heard, pulse.at)
+            heard = max(heard, pulse.seen_at)
         elif pulse is not None and pulse.version > version:
-            return Standing.GONE
-        audible = self.audible(max(heard, self.deaf_until))
-        return Standing.WORKS if audible else Standing.SILENT
+            return HolderState.GONE
+        audible = self.is_within_timeout(max(heard, self.recovered_at))
+        return HolderState.WORKS if audible else HolderState.SILENT
 
-    def note_works(self, claim: Claim) -> None:
+    def note_alive(self, claim: Claim) -> None:
         """Take that the holder of a claim said itself that it works."""
         now = self.clock.monotonic()
-        pulse = self.pulses.setdefault(claim.agent, Pulse(claim.session, now))
+        pulse = self.states.setdefault(claim.agent, PeerState(claim.session, now))
         if pulse.session == claim.session:
-            pulse.at = now
+            pulse.seen_at = now
 
-    def audible(self, at: float) -> bool:
+    def is_within_timeout(self, at: float) -> bool:
         """Tell whether a sign of life is younger than the silence that counts.
 
         Time in which the table of agents was not told is left out at its end.
         """
-        now, listened = self.clock.monotonic(), self.listened_at()
-        until = now if now - listened < LISTENING else listened
-        return until - at < SILENCE
+        now, listened = self.clock.monotonic(), self.table_current_at()
+        until = now if now - listened < MAX_TABLE_AGE else listened
+        return until - at < HEARTBEAT_TIMEOUT
 
-    def recent(self, at: float) -> bool:
+    def is_recent(self, at: float) -> bool:
         """Tell whether what an agent told is young enough to hold now."""
-        return self.clock.monotonic() - at < SILENCE
+        return self.clock.monotonic() - at < HEARTBEAT_TIMEOUT
 
-    def gone_since(self, claim: Claim, seen_at: float) -> float:
+    def free_since(self, claim: Claim, seen_at: float) -> float:
         """Return when a claim became free whose holder is not alive, in seconds."""
-        pulse = self.pulses.get(claim.agent)
+        pulse = self.states.get(claim.agent)
         if pulse is not None and pulse.session != claim.session:
             # Not its last heartbeat: one comes each 0.4 s, and long items that are left
             # to faster engines for a second (`LEAVE_LONG`) would be left for good.
-            return max(seen_at, pulse.since)
-        told = max(seen_at, pulse.at if pulse else 0.0)
-        return max(told, self.deaf_until) + SILENCE if claim.agent else told
+            return max(seen_at, pulse.first_seen_at)
+        told = max(seen_at, pulse.seen_at if pulse else 0.0)
+        return max(told, self.recovered_at) + HEARTBEAT_TIMEOUT if claim.agent else told
 
     def paces(self) -> list[float]:
         """Return the known paces of the other agents' engines."""
         return [
             pulse.pace
-            for pulse in self.pulses.values()
-            if pulse.session != self.session and pulse.pace and self.recent(pulse.at)
+            for pulse in self.states.values()
+            if pulse.session != self.session
+            and pulse.pace
+            and self.is_recent(pulse.seen_at)
         ]
 
-    def told(self, agent: str) -> Heartbeat:
+    def last_heartbeat(self, agent: str) -> Heartbeat:
         """Return what an agent told last; an empty heartbeat where it told nothing."""
-        pulse = self.pulses.get(agent)
-        return pulse.beat if pulse else Heartbeat("")
+        pulse = self.states.get(agent)
+        return pulse.heartbeat if pulse else Heartbeat("")
 
-    def version(self, agent: str) -> int:
+    def row_version(self, agent: str) -> int:
         """Return the version of the row that an agent told last; 0 for none."""
-        pulse = self.pulses.get(agent)
+        pulse = self.states.get(agent)
         return pulse.version if pulse else ABSENT
 
-    def engines(self) -> dict[ServerStart, EngineView]:
+    def engine_views(self) -> dict[ServerStart, EngineView]:
         """Return what agents told last of their engines, by the engine's start."""
-        beats = [p.beat for p in sorted(self.pulses.values(), key=lambda p: p.at)]
+        beats = [
+            p.heartbeat for p in sorted(self.states.values(), key=lambda p: p.seen_at)
+        ]
         return {b.start: EngineView(b.engine, b.home, b.usual) for b in beats}
 
-    def faster(self, usual: float, engines: Collection[str]) -> list[Heartbeat]:
+    def faster_engines(self, usual: float, engines: Collection[str]) -> list[Heartbeat]:
         """Return what agents tell whose engines are built faster than one.
 
         Parameters
@@ -217,9 +225,9 @@
             Ids of the engines among which to look.
         """
         return [
-            pulse.beat
-            for pulse in self.pulses.values()
-            if pulse.beat.engine in engines
-            and self.recent(pulse.at)
-            and is_slower(usual, pulse.beat.usual)
+            pulse.heartbeat
+            for pulse in self.states.values()
+            if pulse.heartbeat.engine in engines
+            and self.is_recent(pulse.seen_at)
+            and is_slower(usual, pulse.heartbeat.usual)
         ]
--- a/gypsumshift/jobs/returns.py
+++ b/gypsumshift/jobs/returns.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from gypsumshift.clock import Clock
-from gypsumshift.jobs.claims import ClaimBoard
+from gypsumshift.jobs.claimtracker import ClaimTracker
 from gypsumshift.jobs.itemrun import RETRY_PAUSE
 from gypsumshift.jobs.model import CLAIMS, Claim, to_row
 from gypsumshift.jobs.partials import Partials
@@ -21,7 +21,7 @@
     Parameters
     ----------
     store : RowStore
-    board : ClaimBoard
+    tracker : ClaimTracker
         Told what becomes of the claims.
     partials : Partials
     clock : Clock
@@ -39,13 +39,13 @@
     def __init__(
         self,
         store: RowStore,
-        board: ClaimBoard,
+        tracker: ClaimTracker,
         partials: Partials,
         clock: Clock,
         changed: Callable[[], None],
     ):
         self.store = store
-        self.board = board
+        self.tracker = tracker
         self.partials = partials
         self.clock = clock
         self.changed = changed
@@ -85,7 +85,7 @@
             await self.learn(unit)
             return
         row = Row(CLAIMS, unit.key, outcome.version, free.value, unit.job.id)
-        self.board.take_claims([row])
+        self.tracker.apply_claim_rows([row])
         self.changed()
 
     async def learn(self, unit: UnitRun) -> None:
@@ -100,7 +100,7 @@
             await self.clock.sleep(RETRY_PAUSE)
             row = await self.store.read(CLAIMS, unit.key, unit.job.id)
         if isinstance(row, Row):
-            self.board.take_claims([row])
+            self.tracker.apply_claim_rows([row])
             self.changed()
 
     def is_old(self, row: Row | Missing, unit: UnitRun) -> bool:
--- a/gypsumshift/jobs/unitmigrator.py
+++ b/gypsumshift/jobs/unitmigrator.py
@@ -6,8 +6,8 @@
 """
 
 from gypsumshift.clock import Clock
-from gypsumshift.jobs.claims import ClaimBoard
-from gypsumshift.jobs.heart import Heart
+from gypsumshift.jobs.claimtracker import ClaimTracker
+from gypsumshift.jobs.heartbeatwriter import HeartbeatWriter
 from gypsumshift.jobs.schedule import long_units
 from gypsumshift.jobs.unit import UnitRun
 from gypsumshift.jobs.unitrunner import UnitRunner
@@ -28,9 +28,9 @@
 
     Parameters
     ----------
-    heart : Heart
+    heartbeat_writer : HeartbeatWriter
     weights : WeightManager
-    board : ClaimBoard
+    tracker : ClaimTracker
     runner : UnitRunner
     clock : Clock
 
@@ -44,15 +44,15 @@
 
     def __init__(
         self,
-        heart: Heart,
+        heartbeat_writer: HeartbeatWriter,
         weights: WeightManager,
-        board: ClaimBoard,
+        tracker: ClaimTracker,
         runner: UnitRunner,
         clock: Clock,
     ):
-        self.heart = heart
+        self.heartbeat_writer = heartbeat_writer
         self.weights = weights
-        self.board = board
+        self.tracker = tracker
         self.runner = runner
         self.clock = clock
         self.faster_free_slots: dict[str, int] = {}
@@ -61,7 +61,7 @@
     def migrate_long_units(self) -> None:
         """Find the models that faster engines serve too; move long items of them."""
         self.migrated = {
-            place for place in self.migrated if place[0] in self.board.open
+            place for place in self.migrated if place[0] in self.tracker.open_jobs
         }
         self.faster_free_slots = self.slower_models()
         for model, places in self.faster_free_slots.items():
@@ -72,11 +72,13 @@
 
         Also those of items that run here from before this engine changed its model.
         """
-        usual = self.heart.usual_pace()
+        usual = self.heartbeat_writer.usual_pace()
         found = {}
         running = {unit.job.model for unit in self.runner.units.values()}
         for model in sorted(running | set(self.weights.assigned_models())):
-            faster = self.board.peers.faster(usual, self.weights.engines_serving(model))
+            faster = self.tracker.peers.faster_engines(
+                usual, self.weights.engines_serving(model)
+            )
             if faster:
                 found[model] = sum(beat.places for beat in faster)
         return found
--- a/gypsumshift/jobs/unitrunner.py
+++ b/gypsumshift/jobs/unitrunner.py
@@ -8,10 +8,11 @@
 
 from gypsumshift import logs
 from gypsumshift.clock import Clock
-from gypsumshift.jobs.claims import Candidate, ClaimBoard
+from gypsumshift.jobs.claimtracker import Candidate, ClaimTracker
 from gypsumshift.jobs.committer import Committer, Finished
 from gypsumshift.jobs.itemrun import RETRY_PAUSE, ItemRun
 from gypsumshift.jobs.itemrunner import ItemRunner
+from gypsumshift.jobs.localengine import LocalEngine
 from gypsumshift.jobs.model import (
     CLAIMS,
     RESULTS,
@@ -28,7 +29,6 @@
 from gypsumshift.jobs.pace import Pace
 from gypsumshift.jobs.partials import Partials, read_rows
 from gypsumshift.jobs.returns import Returns
-from gypsumshift.jobs.station import Station
 from gypsumshift.jobs.unit import UnitRun
 from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.metrics import Metrics
@@ -52,9 +52,9 @@
     own : Claim
         What the agent writes where it claims.
     store : RowStore
-    station : Station
+    local_engine : LocalEngine
     weights : WeightManager
-    board : ClaimBoard
+    tracker : ClaimTracker
     forwarder : Forwarder
         For reward calls; its guard is asked for items, too.
     names : HeaderNames
@@ -68,9 +68,9 @@
         self,
         own: Claim,
         store: RowStore,
-        station: Station,
+        local_engine: LocalEngine,
         weights: WeightManager,
-        board: ClaimBoard,
+        tracker: ClaimTracker,
         forwarder: Forwarder,
         names: HeaderNames,
         clock: Clock,
@@ -79,9 +79,9 @@
     ):
         self.own = own
         self.store = store
-        self.station = station
+        self.local_engine = local_engine
         self.weights = weights
-        self.board = board
+        self.tracker = tracker
         self.forwarder = forwarder
         self.names = names
         self.clock = clock
@@ -92,9 +92,9 @@
         self.partials = Partials(store, own.session, clock)
         self.units: dict[tuple[str, str], UnitRun] = {}
         self.item_runner = ItemRunner(
-            station, weights, forwarder.guard, store, clock, metrics, changed
+            local_engine, weights, forwarder.guard, store, clock, metrics, changed
         )
-        self.returns = Returns(store, board, self.partials, clock, changed)
+        self.returns = Returns(store, tracker, self.partials, clock, changed)
 
     @property
     def load(self) -> int:
@@ -119,7 +119,7 @@
     def drop_ended_jobs(self) -> None:
         """Stop the units whose jobs have ended."""
         for unit in list(self.units.values()):
-            if unit.job.id in self.board.ended:
+            if unit.job.id in self.tracker.ended_jobs:
                 self.drop(unit)
 
     def drop_if_taken_over(self, row: Row) -> None:
@@ -135,7 +135,7 @@
     def start_unit(self, candidate: Candidate, version: int) -> None:
         """Run a claimed unit."""
         job, summary = candidate.job, candidate.unit
-        if job.id in self.board.ended or (job.id, summary.key) in self.units:
+        if job.id in self.tracker.ended_jobs or (job.id, summary.key) in self.units:
             # The job ended while the claim was on its way, or its answer was late.
             return
         unit = UnitRun(job, summary, version, self.clock.monotonic())
@@ -148,7 +148,7 @@
             items=list(summary.items),
             taken_over=candidate.taken_over,
             claim_version=version,
-            weights=self.station.versions.get(job.model, 0),
+            weights=self.local_engine.versions.get(job.model, 0),
         )
         self.metrics.count("claims", taken_over=str(candidate.taken_over).lower())
         loading = self.load_unit(unit, candidate.taken_over)
@@ -192,9 +192,9 @@
         run = ItemRun(
             unit.job,
             item,
-            self.station.engine,
+            self.local_engine.engine,
             self.forwarder,
-            self.station.directory,
+            self.local_engine.directory,
             self.names,
             self.clock,
             self.pace,
@@ -261,7 +261,7 @@
         self.units.pop((unit.job.id, unit.key), None)
         # Known here before the store tells it.
         row = Row(CLAIMS, unit.key, unit.version, to_row(done), unit.job.id)
-        self.board.take_claims([row])
+        self.tracker.apply_claim_rows([row])
         return done
 
     async def close_unit(self, unit: UnitRun) -> None:
--- a/gypsumshift/jobs/weights.py
+++ b/gypsumshift/jobs/weights.py
@@ -5,10 +5,10 @@
 from gypsumshift import logs
 from gypsumshift.clock import Clock
 from gypsumshift.jobs import placement
-from gypsumshift.jobs.claims import ClaimBoard
+from gypsumshift.jobs.claimtracker import ClaimTracker
 from gypsumshift.jobs.engine import EngineReport, WeightLoadOrder
+from gypsumshift.jobs.localengine import LocalEngine
 from gypsumshift.jobs.model import Job
-from gypsumshift.jobs.station import Station
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import Answered
 from gypsumshift.policy import DEFAULT, Policy
@@ -35,8 +35,8 @@
 
     Parameters
     ----------
-    station : Station
-    board : ClaimBoard
+    local_engine : LocalEngine
+    tracker : ClaimTracker
     clock : Clock
     metrics : Metrics
     policy : Policy
@@ -56,15 +56,15 @@
 
     def __init__(
         self,
-        station: Station,
-        board: ClaimBoard,
+        local_engine: LocalEngine,
+        tracker: ClaimTracker,
         clock: Clock,
         metrics: Metrics,
         policy: Policy = DEFAULT,
     ):
         self.policy = policy
-        self.station = station
-        self.board = board
+        self.local_engine = local_engine
+        self.tracker = tracker
         self.clock = clock
         self.metrics = metrics
         self.demand = placement.Demand()
@@ -83,18 +83,18 @@
         if known is None or job.step >= known.step:
             self.newest_jobs[job.model] = job
         if job.oldest_version > FIRST_VERSION:
-            newest = self.station.directory.newest.get(job.model, FIRST_VERSION)
+            newest = self.local_engine.directory.newest.get(job.model, FIRST_VERSION)
             self.slack[job.model] = max(0, newest - job.oldest_version)
 
     def placed(self) -> dict[str, tuple[str, ...]]:
         """Return the models of each engine of the service."""
-        limits = self.station.limits
+        limits = self.local_engine.limits
         if limits is None:
             return {}
-        told = self.board.peers.engines()
+        told = self.tracker.peers.engine_views()
         engines = [
             self.considered(told.get(peer.start, placement.EngineView(peer.id)))
-            for peer in self.station.peers
+            for peer in self.local_engine.service_engines
         ]
         shares = self.demand.shares(limits.models)
         return self.placement.assign(engines, shares, self.demand.lengths())
@@ -114,14 +114,14 @@
 
     def ready_versions(self) -> dict[str, int]:
         """Return the versions of the models for which the engine takes new work now."""
-        versions = self.station.versions
+        versions = self.local_engine.versions
         return {m: n for m, n in versions.items() if not self.holds_back(m)}
 
     def holds_back(self, model: str) -> bool:
         """Tell whether the engine loads weights of a model now or is about to."""
         if model == self.loading_model:
             return True
-        report = self.station.report
+        report = self.local_engine.report
         if report is None or model not in self.assigned_models():
             return False
         asked = self.question(report, model, self.engines_serving(model))
@@ -135,7 +135,7 @@
 
     def assigned_models(self) -> tuple[str, ...]:
         """Return the models that the engine is to serve."""
-        server = self.station.server
+        server = self.local_engine.server
         return self.placed().get(server.id, ()) if server else ()
 
     def note_report(self, report: EngineReport) -> None:
@@ -151,7 +151,7 @@
 
     async def order_due_load(self, report: EngineReport) -> None:
         """Order newer weights where they are due."""
-        server = self.station.server
+        server = self.local_engine.server
         if server is None or report.busy or not self.fence:
             return
         if self.clock.monotonic() - self.order_at < ORDER_RETRY:
@@ -173,8 +173,8 @@
         engines : list of str
             Ids of the engines that serve the model, this one among them.
         """
-        newest = self.station.directory.newest.get(model, FIRST_VERSION)
-        servers = self.station.directory.servers
+        newest = self.local_engine.directory.newest.get(model, FIRST_VERSION)
+        servers = self.local_engine.directory.servers
         seen, since = self.named_at.get(model, (0, 0.0))
         now = self.clock.monotonic()
         if seen != newest:
@@ -182,16 +182,18 @@
             self.named_at[model] = (newest, now)
         slack = self.slack.get(model, SLACK_USUAL)
         job = self.newest_jobs.get(model)
-        route = self.station.directory.routes.find(job.host, job.path) if job else None
+        route = (
+            self.local_engine.directory.routes.find(job.host, job.path) if job else None
+        )
         one_version = route is not None and route.one_version
         return placement.LoadQuestion(
             model=model,
             own=report.versions.get(model, 0),
             newest=newest,
-            needed=self.board.waiting(model),
+            needed=self.tracker.version_for_waiting(model),
             slack=slack,
             versions=tuple(servers[e].models.get(model, 0) for e in engines),
-            turn=engines.index(self.station.server.id),
+            turn=engines.index(self.local_engine.server.id),
             named_since=now - since,
             step_came=job is not None and job.oldest_version >= newest - slack,
             restarts=not self.policy.loads_behind_steps or one_version,
@@ -199,12 +201,12 @@
 
     async def give_order(self, server, report, choice) -> None:
         """Order the engine to load weights."""
-        holder = self.station.home.name
+        holder = self.local_engine.identity.name
         order = WeightLoadOrder(
             choice.model, choice.version, holder, self.fence, report.orders
         )
         self.order_at = self.clock.monotonic()
-        answer = await self.station.engine.send_order(server, order)
+        answer = await self.local_engine.engine.send_order(server, order)
         status = answer.status if isinstance(answer, Answered) else 0
         self.metrics.count("orders", status=str(status))
         self.loading_model = choice.model if status in ACCEPTED else ""
--- a/gypsumshift/policy.py
+++ b/gypsumshift/policy.py
@@ -29,7 +29,7 @@
         (`jobs/placement.py`).
     long_items_to_faster : bool
         Long items are left and given to the faster engines of a model
-        (`jobs/claims.py`, `jobs/agent.py`).
+        (`jobs/claimtracker.py`, `jobs/agent.py`).
     slow_engines_short_items : bool
         Engines that are built slower serve the model of the shortest items
         (`jobs/placement.py`).
--- a/tests/jobs_world.py
+++ b/tests/jobs_world.py
@@ -10,8 +10,10 @@
 from gypsumshift.eventstream import StreamBroken
 from gypsumshift.jobs import Desk, EngineReport, Event, Item, Job, RewardCall, split
 from gypsumshift.jobs.agent import Agent
-from gypsumshift.jobs.claims import ClaimBoard
+from gypsumshift.jobs.claimtracker import ClaimTracker
 from gypsumshift.jobs.engine import StreamRefused
+from gypsumshift.jobs.liveness import NO_PROBE, LivenessProbe
+from gypsumshift.jobs.localengine import AgentIdentity
 from gypsumshift.jobs.model import (
     CLAIMS,
     JOB_KEY,
@@ -21,8 +23,6 @@
     to_row,
 )
 from gypsumshift.jobs.peers import Peers
-from gypsumshift.jobs.presence import UNASKED, Presence
-from gypsumshift.jobs.station import Home
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import Answered
 from gypsumshift.platforms import Row
@@ -234,14 +234,14 @@
         return outcome
 
 
-class ToldPresence(Presence):
+class ScriptedLivenessProbe(LivenessProbe):
     """Presence by a script: the agents that work, and who was asked."""
 
     def __init__(self, *working):
         self.working = set(working)
         self.asked = []
 
-    async def works(self, claim):
+    async def is_alive(self, claim):
         self.asked.append(claim.agent)
         return claim.agent in self.working
 
@@ -263,7 +263,7 @@
         name="a",
         engine=None,
         store=None,
-        presence=UNASKED,
+        presence=NO_PROBE,
         forwarder=None,
         clock=None,
     ):
@@ -273,7 +273,7 @@
         directory.set_server(server(f"e-{name}"))
         chance = random.Random(name)
         agent = Agent(
-            Home(name, SERVICE, ADDRESS),
+            AgentIdentity(name, SERVICE, ADDRESS),
             store or self.store,
             directory,
             engine or FakeEngine(),
@@ -282,7 +282,7 @@
             clock or SystemClock(),
             chance,
             METRICS,
-            presence=presence,
+            liveness=presence,
         )
         self.agents[name] = agent
         self.tasks.append(asyncio.create_task(agent.run()))
@@ -325,8 +325,8 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-def board(session="mine", clock=None):
-    return ClaimBoard(session, clock, random.Random(1), Peers(session, clock))
+def make_tracker(session="mine", clock=None):
+    return ClaimTracker(session, clock, random.Random(1), Peers(session, clock))
 
 
 def entry(**changes):
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -5,7 +5,7 @@
 import attrs
 
 from gypsumshift.jobs import ResultState
-from gypsumshift.jobs.claims import Candidate
+from gypsumshift.jobs.claimtracker import Candidate
 from gypsumshift.jobs.model import AGENTS, END_KEY, JOBS, PARTIALS, RESULTS
 from gypsumshift.platforms import Row, Write
 from tests.jobs_world import MODEL, FakeEngine, World, server
@@ -105,7 +105,7 @@
 @scenario
 async def test_a_leaving_agent_gives_its_units_back(world):
     agent, engine = await busy_agent(world)
-    await agent.leave()
+    await agent.drain()
     assert not engine.running
     world.agent("b", FakeEngine())
     assert len(await world.results()) == 2
@@ -128,7 +128,11 @@
     await world.store.commit([Write(RESULTS, "job-0-0", stored, 0, part="job")])
     agent = world.agent("a")
     await until(
-        lambda: agent.board.open and not agent.runner.units and agent.heart.told.beat
+        lambda: (
+            agent.tracker.open_jobs
+            and not agent.runner.units
+            and agent.heartbeat_writer.last.beat
+        )
     )
     await asyncio.sleep(0)
     await until(
@@ -145,7 +149,7 @@
     agent = world.agent("a", engine)
     await world.submit(groups=1)
     await until(lambda: engine.started)
-    agent.station.directory.set_server(server("e-new"))
+    agent.local_engine.directory.set_server(server("e-new"))
     assert len(await world.results()) == 2
     refused = [s for s in engine.servers if s == "e-a"]
     assert len(refused) <= 2, "it kept asking for the engine that is gone"
@@ -156,11 +160,11 @@
     engine = FakeEngine()
     engine.busy = True
     agent = world.agent("a", engine)
-    agent.station.directory.set_version(MODEL, 3)
+    agent.local_engine.directory.set_version(MODEL, 3)
     await until(lambda: agent.weights.loading_model == MODEL)
     await world.submit(groups=1)
-    await until(lambda: "job" in agent.board.open)
-    await agent.claim_all()
+    await until(lambda: "job" in agent.tracker.open_jobs)
+    await agent.claim_units()
     assert not agent.runner.units
     engine.busy = False
     engine.version = 3
@@ -170,11 +174,11 @@
 @scenario
 async def test_an_engine_that_is_about_to_load_takes_no_new_work(world):
     agent = world.agent("a", FakeEngine())
-    await until(lambda: agent.station.versions)
+    await until(lambda: agent.local_engine.versions)
     assert agent.weights.ready_versions() == {MODEL: 1}
-    agent.station.directory.set_version(MODEL, 3)
+    agent.local_engine.directory.set_version(MODEL, 3)
     assert agent.weights.ready_versions() == {}
-    agent.station.directory.remove_server("e-a", 0.0, 100.0)
+    agent.local_engine.directory.remove_server("e-a", 0.0, 100.0)
     assert agent.weights.ready_versions() == {MODEL: 1}
 
 
@@ -199,7 +203,7 @@
     agent.runner.forwarder.hold.clear()
     await world.submit(groups=7)
     await until(lambda: agent.runner.scoring_count == 8)
-    await agent.claim_all()
+    await agent.claim_units()
     assert len(engine.started) == 8, "two rounds of four places wait for scores"
     agent.runner.forwarder.hold.set()
     await world.results()
@@ -271,27 +275,27 @@
     value = {"session": "old", "engine": "e-a", "home": MODEL, "usual": 0.05}
     await world.store.commit([Write(AGENTS, "a", value)])
     agent = world.agent("a")
-    agent.station.directory.forget_server("e-a")
+    agent.local_engine.directory.forget_server("e-a")
     await until(lambda: agent.weights.fence)
     row = await world.store.read(AGENTS, "a")
     told = {key: row.value[key] for key in ("engine", "home", "usual")}
     assert told == {"engine": "e-a", "home": MODEL, "usual": 0.05}
-    agent.station.directory.set_server(server("e-new"))
-    await until(lambda: agent.heart.told.engine == "e-new")
-    assert agent.heart.told.usual == 0, "another engine is of another pace"
+    agent.local_engine.directory.set_server(server("e-new"))
+    await until(lambda: agent.heartbeat_writer.last.engine == "e-new")
+    assert agent.heartbeat_writer.last.usual == 0, "another engine is of another pace"
 
 
 @scenario
 async def test_pace_and_model_of_an_engine_end_with_its_start(world):
     agent = world.agent("a")
-    directory = agent.station.directory
+    directory = agent.local_engine.directory
     value = {"session": "old", "engine": "e-a", "born": 1, "home": "x", "usual": 0.05}
     directory.set_server(attrs.evolve(server("e-a"), born=1))
     await until(lambda: agent.weights.fence)
-    agent.peers.take([Row(AGENTS, "a", 9, value)])
-    agent.heart.told = agent.peers.told("a")
-    assert agent.heart.usual_pace() == 0.05
+    agent.peers.apply_rows([Row(AGENTS, "a", 9, value)])
+    agent.heartbeat_writer.last = agent.peers.last_heartbeat("a")
+    assert agent.heartbeat_writer.usual_pace() == 0.05
     directory.set_server(attrs.evolve(server("e-a"), born=2))
-    assert agent.heart.usual_pace() == 0
-    told = agent.heart.heartbeat()
+    assert agent.heartbeat_writer.usual_pace() == 0
+    told = agent.heartbeat_writer.next_heartbeat()
     assert (told.born, told.usual, told.home) == (2, 0, MODEL)
--- a/tests/test_fatal_items.py
+++ b/tests/test_fatal_items.py
@@ -76,7 +76,7 @@
         self.ended.set()
         await asyncio.sleep(BACK_AFTER)
         self.up, self.ended = True, asyncio.Event()
-        directory = self.world.agents[self.name].station.directory
+        directory = self.world.agents[self.name].local_engine.directory
         old = directory.servers[f"e-{self.name}"]
         directory.set_server(attrs.evolve(old, born=old.born + 1))
 
@@ -108,7 +108,7 @@
         guard = forwarder.guard = Guard(self.store, self.clock, chance, jw.METRICS)
         agent = self.agent(name, engine, forwarder=forwarder, clock=self.clock)
         table = jw.routes(version=2, retention=retention)
-        agent.station.directory.set_routes(table)
+        agent.local_engine.directory.set_routes(table)
         self.begin(run_all([guard.table.watch]))
         self.begin(guard.run())
 
--- a/tests/test_late_answers.py
+++ b/tests/test_late_answers.py
@@ -56,13 +56,15 @@
         self.engine.hold.clear()
         await self.world.submit(groups=4, size=2)
         await until(lambda: len(self.engine.running) == 4)
-        await until(lambda: not self.agent.board.claiming)
+        await until(lambda: not self.agent.tracker.pending_claims)
         self.store.hold(CLAIMS)
         self.store.hold(RESULTS)
         self.engine.hold.set()
         await until(lambda: self.waiting == 8)
         self.store.answer(CLAIMS)
-        await until(lambda: not self.agent.board.claiming and not self.runner.units)
+        await until(
+            lambda: not self.agent.tracker.pending_claims and not self.runner.units
+        )
         self.store.answer(RESULTS)
 
 
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -7,9 +7,9 @@
 
 import asyncio
 
-from gypsumshift.jobs.agent import CLAIMS_AT_ONCE
+from gypsumshift.jobs.agent import CONCURRENT_CLAIMS
+from gypsumshift.jobs.liveness import LivenessProbe
 from gypsumshift.jobs.model import AGENTS, CLAIMS, Claim, Heartbeat, to_row
-from gypsumshift.jobs.presence import Presence
 from gypsumshift.platforms import Write
 from tests.jobs_world import FakeEngine, HeldAnswers, World
 from tests.late_world import (
@@ -47,7 +47,7 @@
         world, agent, engine = await busy(store)
         await turns()
         store.hold(CLAIMS)
-        agent.note_news()
+        agent.wake()
         agent.runner.hand_over_all("the engine is slow")
         await turns()
         assert len(engine.started) == 2, "the unit began again where it was given back"
@@ -70,7 +70,7 @@
         await world.submit(groups=1, size=1)
         await until(lambda: engine.started and not agent.runner.units)
         for _ in range(5):
-            agent.note_news()
+            agent.wake()
             await turns()
         assert len(engine.started) == 1
         await world.close()
@@ -94,7 +94,7 @@
         agent.slow_at = agent.clock.monotonic()
         agent.runner.hand_over_all("the engine is slow")
         await until(lambda: store.lost and not agent.runner.returns.pending)
-        agent.note_news()
+        agent.wake()
         await turns()
         assert len(engine.started) == 2
         await world.close()
@@ -109,14 +109,14 @@
     while it was asked, and its unit was taken over all the same.
     """
 
-    class Overtaken(Presence):
+    class Overtaken(LivenessProbe):
         def __init__(self):
             self.answered = False
 
-        async def works(self, claim):
+        async def is_alive(self, claim):
             beat = to_row(Heartbeat(claim.session, 2))
             await world.store.commit([Write(AGENTS, claim.agent, beat)])
-            await until(lambda: agent.peers.told(claim.agent).beat == 2)
+            await until(lambda: agent.peers.last_heartbeat(claim.agent).beat == 2)
             self.answered = True
             return False
 
@@ -151,11 +151,11 @@
         world = World(store=store)
         engine = FakeEngine()
         agent = world.agent(engine=engine)
-        await until(lambda: agent.station.healthy)
+        await until(lambda: agent.local_engine.healthy)
         await world.submit(groups=1, size=2)
         await until(lambda: store.lost)
         engine.serves = False
-        await until(lambda: not agent.station.healthy)
+        await until(lambda: not agent.local_engine.healthy)
         store.told.set()
         await until(lambda: store.rows["claims", "job", "00000"].value == {})
         assert not engine.started
@@ -175,11 +175,11 @@
         store = Refuses()
         world = World(store=store)
         agent = world.agent()
-        await until(lambda: agent.station.healthy)
+        await until(lambda: agent.local_engine.healthy)
         await world.submit(groups=1, size=2)
         await until(lambda: store.refused)
         await turns()
-        assert store.refused <= CLAIMS_AT_ONCE
+        assert store.refused <= CONCURRENT_CLAIMS
         await world.close()
 
     play(scenario)
@@ -198,12 +198,12 @@
         engine = FakeEngine()
         engine.hold.clear()
         agent = world.agent(engine=engine)
-        await until(lambda: agent.station.healthy)
+        await until(lambda: agent.local_engine.healthy)
         store.hold(CLAIMS)
         await world.submit(groups=1, size=2)
         await until(lambda: ("claims", "job", "00000") in store.rows)
         engine.hold.clear()
-        leaving = asyncio.create_task(agent.leave())
+        leaving = asyncio.create_task(agent.drain())
         await turns()
         store.answer(CLAIMS)
         await leaving
@@ -219,12 +219,12 @@
     While the holder of a unit was asked, other claims took the room for it.
     """
 
-    class Slow(Presence):
+    class Slow(LivenessProbe):
         def __init__(self):
             self.asked = 0
             self.answer = asyncio.Event()
 
-        async def works(self, claim):
+        async def is_alive(self, claim):
             self.asked += 1
             await self.answer.wait()
             return False
--- a/tests/test_late_machine.py
+++ b/tests/test_late_machine.py
@@ -12,7 +12,7 @@
 
 from gypsumshift.jobs import Desk, Event, split
 from gypsumshift.jobs.agent import Agent
-from gypsumshift.jobs.station import Home
+from gypsumshift.jobs.localengine import AgentIdentity
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import Unavailable, Unknown
 from gypsumshift.platforms import WrappedStore
@@ -100,7 +100,7 @@
         directory.set_routes(jw.routes())
         directory.set_server(jw.server(f"e-{name}"))
         self.agents[name] = agent = Agent(
-            Home(name, jw.SERVICE, jw.ADDRESS),
+            AgentIdentity(name, jw.SERVICE, jw.ADDRESS),
             way,
             directory,
             Engine(self),
--- a/tests/test_presence.py
+++ b/tests/test_liveness.py
@@ -4,20 +4,24 @@
 import random
 
 from gypsumshift.jobs import split
-from gypsumshift.jobs.agent import LOOK_PERIOD
-from gypsumshift.jobs.claimer import ASK_PAUSE
-from gypsumshift.jobs.claims import ClaimBoard
-from gypsumshift.jobs.heart import HEARTBEAT, beat_part, beat_period
+from gypsumshift.jobs.agent import CLAIM_PERIOD
+from gypsumshift.jobs.capacity import FreeCapacity
+from gypsumshift.jobs.claimer import PROBE_PERIOD
+from gypsumshift.jobs.claimtracker import ClaimTracker
+from gypsumshift.jobs.heartbeatwriter import (
+    HEARTBEAT_PERIOD,
+    heartbeat_part,
+    heartbeat_period,
+)
+from gypsumshift.jobs.liveness import LIVENESS_PATH, HttpLivenessProbe
 from gypsumshift.jobs.model import AGENTS, CLAIMS, Claim, to_row
-from gypsumshift.jobs.peers import SILENCE, Peers
-from gypsumshift.jobs.presence import ALIVE, Asked
-from gypsumshift.jobs.room import Room
+from gypsumshift.jobs.peers import HEARTBEAT_TIMEOUT, Peers
 from gypsumshift.neighbours import Neighbour, Relay
 from gypsumshift.platforms import Row, Write
 from tests.builders import ManualClock
 from tests.jobs_world import (
     MODEL,
-    ToldPresence,
+    ScriptedLivenessProbe,
     claim_row,
     items,
     job,
@@ -46,7 +50,7 @@
 
 @jobs_scenario
 async def test_a_silent_agent_that_answers_keeps_its_units(world: JobsWorld):
-    presence = ToldPresence("silent")
+    presence = ScriptedLivenessProbe("silent")
     agent = await held_by_a_silent_agent(world, presence)
     await until(lambda: len(presence.asked) >= 2)
     assert not agent.runner.units, "it works, and is asked again later"
@@ -59,43 +63,43 @@
     store = await world.serve(world.store)
     path = world.path(store)
     await call(path)
-    told = Asked(path)
+    told = HttpLivenessProbe(path)
     told.session = "now"
-    address = await world.serve(Relay(path, {ALIVE: told.serve}).serve)
-    asker = Asked(world.path(store, [Neighbour("a", address, "here")]))
-    assert await asker.works(Claim("a", "now"))
-    assert not await asker.works(Claim("a", "before")), "that start is no more"
-    assert not await asker.works(Claim("unknown", "now"))
+    address = await world.serve(Relay(path, {LIVENESS_PATH: told.serve}).serve)
+    asker = HttpLivenessProbe(world.path(store, [Neighbour("a", address, "here")]))
+    assert await asker.is_alive(Claim("a", "now"))
+    assert not await asker.is_alive(Claim("a", "before")), "that start is no more"
+    assert not await asker.is_alive(Claim("unknown", "now"))
 
 
 @scenario
 async def test_an_agent_that_cannot_store_results_does_not_work(world):
     path = world.path(NOBODY)
     await fail_twice(path)
-    told = Asked(path)
+    told = HttpLivenessProbe(path)
     told.session = "now"
-    address = await world.serve(Relay(path, {ALIVE: told.serve}).serve)
-    asker = Asked(world.path(NOBODY, [Neighbour("a", address, "here")]))
-    assert not await asker.works(Claim("a", "now"))
+    address = await world.serve(Relay(path, {LIVENESS_PATH: told.serve}).serve)
+    asker = HttpLivenessProbe(world.path(NOBODY, [Neighbour("a", address, "here")]))
+    assert not await asker.is_alive(Claim("a", "now"))
 
 
 @scenario
 async def test_a_host_that_is_gone_does_not_work(world):
-    asker = Asked(world.path(NOBODY, [Neighbour("a", NOBODY, "here")]))
-    assert not await asker.works(Claim("a", "now"))
+    asker = HttpLivenessProbe(world.path(NOBODY, [Neighbour("a", NOBODY, "here")]))
+    assert not await asker.is_alive(Claim("a", "now"))
 
 
 def test_small_fleets_beat_often_and_large_ones_within_the_store():
-    assert beat_period(19, 3200) == HEARTBEAT
-    assert beat_period(22, 1500) == HEARTBEAT
-    assert beat_period(350, 3200) == 350 / 320
+    assert heartbeat_period(19, 3200) == HEARTBEAT_PERIOD
+    assert heartbeat_period(22, 1500) == HEARTBEAT_PERIOD
+    assert heartbeat_period(350, 3200) == 350 / 320
     for agents, writes in ((5, 800), (19, 3200), (350, 3200), (1600, 3200)):
-        assert agents / beat_period(agents, writes) <= max(0.1 * writes, 19 / 0.4)
+        assert agents / heartbeat_period(agents, writes) <= max(0.1 * writes, 19 / 0.4)
 
 
 def test_no_part_of_the_store_carries_more_than_half_of_what_it_takes():
-    parts = collections.Counter(beat_part(f"side-{n}") for n in range(1600))
-    assert max(parts.values()) / beat_period(1600, 3200) < PART_RATE / 2
+    parts = collections.Counter(heartbeat_part(f"side-{n}") for n in range(1600))
+    assert max(parts.values()) / heartbeat_period(1600, 3200) < PART_RATE / 2
 
 
 def pool(agents, fleet, clock, seed):
@@ -110,18 +114,18 @@
     """
     chance = random.Random(seed)
     value = job(split(items(agents, size=1)))
-    period = beat_period(fleet, 3200)
+    period = heartbeat_period(fleet, 3200)
     phases = {f"a{n}": chance.uniform(0, period) for n in range(agents)}
     boards = []
     for number in range(agents // 10):
         peers = Peers(f"idle{number}", clock)
-        board = ClaimBoard(f"idle{number}", clock, random.Random(number), peers)
-        board.take_jobs([job_row(value)])
+        board = ClaimTracker(f"idle{number}", clock, random.Random(number), peers)
+        board.apply_job_rows([job_row(value)])
         rows = [
             claim_row("job", unit.key, f"a{n}", "s", 2)
             for n, unit in enumerate(value.units)
         ]
-        board.take_claims(rows)
+        board.apply_claim_rows(rows)
         boards.append(board)
     return boards, phases, period
 
@@ -144,19 +148,21 @@
     began, asked_at = clock.monotonic(), {}
     while True:
         before = clock.monotonic()
-        clock.advance(LOOK_PERIOD / 5)
+        clock.advance(CLAIM_PERIOD / 5)
         told = beats_since(phases, period, before, clock.monotonic())
         for board in boards:
-            board.peers.take(told)
+            board.peers.apply_rows(told)
             since = clock.monotonic() - asked_at.get(board, 0)
-            ask = since >= ASK_PAUSE
-            found = board.choose([MODEL], {MODEL: 1}, Room(1), ask=ask)
+            ask = since >= PROBE_PERIOD
+            found = board.choose_candidate(
+                [MODEL], {MODEL: 1}, FreeCapacity(1), may_probe=ask
+            )
             if found is None:
                 continue
             asked_at[board] = clock.monotonic()
-            if found.silent.agent == lost:
+            if found.silent_claim.agent == lost:
                 return clock.monotonic() - began
-            board.peers.note_works(found.silent)
+            board.peers.note_alive(found.silent_claim)
 
 
 def test_the_unit_of_a_lost_host_goes_on_soon_in_a_small_and_a_large_fleet():
@@ -169,11 +175,16 @@
 
 def test_a_unit_of_a_silent_agent_comes_before_those_of_newer_steps():
     clock = ManualClock()
-    own = ClaimBoard("mine", clock, random.Random(1), Peers("mine", clock))
-    own.take_jobs([job_row(job(split(items(1)), "old"))])
-    own.take_claims([claim_row("old", "00000", "silent", "s", 2)])
-    clock.advance(SILENCE + 0.1)
-    own.take_jobs([job_row(job(split(items(3, step="n")), "new"))])
-    chosen = own.choose([MODEL], {MODEL: 1}, Room(8))
-    assert (chosen.job.id, chosen.silent.agent) == ("old", "silent")
-    assert own.choose([MODEL], {MODEL: 1}, Room(8), ask=False).job.id == "new"
+    own = ClaimTracker("mine", clock, random.Random(1), Peers("mine", clock))
+    own.apply_job_rows([job_row(job(split(items(1)), "old"))])
+    own.apply_claim_rows([claim_row("old", "00000", "silent", "s", 2)])
+    clock.advance(HEARTBEAT_TIMEOUT + 0.1)
+    own.apply_job_rows([job_row(job(split(items(3, step="n")), "new"))])
+    chosen = own.choose_candidate([MODEL], {MODEL: 1}, FreeCapacity(8))
+    assert (chosen.job.id, chosen.silent_claim.agent) == ("old", "silent")
+    assert (
+        own.choose_candidate(
+            [MODEL], {MODEL: 1}, FreeCapacity(8), may_probe=False
+        ).job.id
+        == "new"
+    )
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -4,8 +4,8 @@
 
 from gypsumshift.jobs.model import AGENTS
 from gypsumshift.jobs.pace import (
-    LEAST_GAPS,
-    LEAST_SPAN,
+    MIN_GAPS,
+    MIN_SPAN,
     USUAL_WINDOW,
     WINDOW,
     Pace,
@@ -33,7 +33,7 @@
     engine = FakeEngine(length=400)
     engine.gap = 0.03
     agent = world.agent("slow", engine)
-    agent.station.directory.set_server(server("e-fast", address=("127.0.0.1", 10)))
+    agent.local_engine.directory.set_server(server("e-fast", address=("127.0.0.1", 10)))
     units = await world.submit(groups=3, hints={"job-1-0": 90, "job-1-1": 90})
     await until(lambda: len(engine.running) == 4)
     return agent, units
@@ -48,14 +48,14 @@
 def test_a_pace_needs_enough_recent_gaps():
     clock = ManualClock()
     pace = Pace(clock)
-    for _ in range(LEAST_GAPS - 1):
-        pace.note(0.03)
-    assert pace.value() == 0
-    pace.note(5.0)
-    clock.advance(LEAST_SPAN)
-    assert pace.value() == 0.03, "a lone pause does not decide"
+    for _ in range(MIN_GAPS - 1):
+        pace.record_gap(0.03)
+    assert pace.current() == 0
+    pace.record_gap(5.0)
+    clock.advance(MIN_SPAN)
+    assert pace.current() == 0.03, "a lone pause does not decide"
     clock.advance(WINDOW + 0.1)
-    assert pace.value() == 0
+    assert pace.current() == 0
 
 
 def test_the_first_gaps_of_a_burst_do_not_decide():
@@ -64,15 +64,15 @@
     pace = Pace(clock)
     for _ in range(2):
         for _ in range(12):
-            pace.note(0.085)
+            pace.record_gap(0.085)
         clock.advance(0.1)
-        assert not is_slow(pace.value(), [0.034, 0.034, 0.035])
+        assert not is_slow(pace.current(), [0.034, 0.034, 0.035])
     for _ in range(9):
         for _ in range(12):
-            pace.note(0.034)
+            pace.record_gap(0.034)
         clock.advance(0.034)
-        assert not is_slow(pace.value(), [0.034, 0.034, 0.035])
-    assert pace.value() == 0.034
+        assert not is_slow(pace.current(), [0.034, 0.034, 0.035])
+    assert pace.current() == 0.034
 
 
 def test_an_engine_that_stays_slow_is_found_within_its_window():
@@ -80,9 +80,9 @@
     pace = Pace(clock)
     for _ in range(6):
         for _ in range(4):
-            pace.note(0.1)
+            pace.record_gap(0.1)
         clock.advance(0.1)
-    assert is_slow(pace.value(), [0.034, 0.034, 0.035])
+    assert is_slow(pace.current(), [0.034, 0.034, 0.035])
 
 
 def test_slow_is_far_behind_the_usual_and_never_all():
@@ -106,7 +106,7 @@
     await until(lambda: agent.slow_at > 0)
     await until(lambda: not slow.running)
     assert all(row.value["events"] for row in await saved_rows(world))
-    assert agent.room(agent.station.limits).places == 0
+    assert agent.free_capacity(agent.local_engine.limits).free_slots == 0
 
 
 def test_the_usual_pace_is_the_best_of_the_last_seconds():
@@ -114,17 +114,17 @@
     pace = Pace(clock)
     for gap in (0.04, 0.1):
         for _ in range(40):
-            pace.note(gap)
+            pace.record_gap(gap)
             clock.advance(gap)
             pace.usual()
     assert pace.usual() == 0.04
     clock.advance(USUAL_WINDOW + 0.1)
     assert pace.usual() == 0.04, "an idle engine is as fast as it was"
     for _ in range(40):
-        pace.note(0.1)
+        pace.record_gap(0.1)
         clock.advance(0.1)
     assert pace.usual() == 0.1
-    pace.forget()
+    pace.reset()
     assert pace.usual() == 0
 
 
@@ -165,5 +165,5 @@
     agent, _ = await slower_agent(world)
     await tell_of_a_faster_engine(world)
     await until(lambda: agent.unit_migrator.migrated)
-    agent.board.close("job")
+    agent.tracker.close_job("job")
     await until(lambda: not agent.unit_migrator.migrated)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -16,18 +16,22 @@
 import asyncio
 import functools
 
-from gypsumshift.jobs.heart import HEARTBEAT, Heart, beat_part
+from gypsumshift.jobs.heartbeatwriter import (
+    HEARTBEAT_PERIOD,
+    HeartbeatWriter,
+    heartbeat_part,
+)
+from gypsumshift.jobs.localengine import AgentIdentity, LocalEngine
 from gypsumshift.jobs.model import AGENTS, Claim
 from gypsumshift.jobs.pace import Pace
-from gypsumshift.jobs.peers import SILENCE, Standing
-from gypsumshift.jobs.station import Home, Station
+from gypsumshift.jobs.peers import HEARTBEAT_TIMEOUT, HolderState
 from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import Unavailable, Unknown
 from gypsumshift.platforms import Row
 from gypsumshift.serving import Directory
 from tests.builders import ManualClock
-from tests.jobs_world import ADDRESS, METRICS, SERVICE, FakeEngine, board
+from tests.jobs_world import ADDRESS, METRICS, SERVICE, FakeEngine, make_tracker
 
 AGENT = "a"
 
@@ -89,18 +93,21 @@
     def __init__(self):
         self.clock = ManualClock()
         self.store = LateTables()
-        self.reader = board("reader", self.clock).peers
+        self.reader = make_tracker("reader", self.clock).peers
         self.heard = 0
 
     def start(self, session):
         """Return the heart of a process that has read the table of agents."""
-        own = board(session, self.clock)
-        own.peers.take(list(self.store.rows.values()))
-        station = Station(
-            Home(AGENT, SERVICE, ADDRESS), Directory(), FakeEngine(), self.clock
+        own = make_tracker(session, self.clock)
+        own.peers.apply_rows(list(self.store.rows.values()))
+        station = LocalEngine(
+            AgentIdentity(AGENT, SERVICE, ADDRESS),
+            Directory(),
+            FakeEngine(),
+            self.clock,
         )
         weights = WeightManager(station, own, self.clock, METRICS)
-        heart = Heart(
+        heart = HeartbeatWriter(
             session,
             station,
             weights,
@@ -110,49 +117,55 @@
             self.clock,
             lambda: 0,
         )
-        heart.told = own.peers.told(AGENT)
+        heart.last = own.peers.last_heartbeat(AGENT)
         return heart
 
     def hear(self):
         """Tell the reader what changed."""
-        self.reader.take(self.store.changed_rows(AGENTS, self.heard))
+        self.reader.apply_rows(self.store.changed_rows(AGENTS, self.heard))
         self.heard = self.store.version
 
     def row(self):
         """Return the session and the number of the heartbeat that stands."""
-        row = self.store.rows[AGENTS, beat_part(AGENT), AGENT]
+        row = self.store.rows[AGENTS, heartbeat_part(AGENT), AGENT]
         return row.value["session"], row.value["beat"]
 
     async def beat_late(self, heart):
         """Write a heartbeat that the store has not carried out yet."""
         self.store.holding = True
-        await heart.beat()
+        await heart.write_next()
         self.store.holding = False
 
     async def beat_unanswered(self, heart):
         """Write a heartbeat that stands, with its answer lost."""
         self.store.losing = True
-        await heart.beat()
+        await heart.write_next()
         self.store.losing = False
 
 
 @scenario
 async def test_a_late_heartbeat_of_an_ended_process_leaves_its_successor_alive(fleet):
     old = fleet.start("old")
-    await old.beat()
+    await old.write_next()
     await fleet.beat_late(old)
     new = fleet.start("new")
-    await new.beat()
+    await new.write_next()
     fleet.hear()
     claimed_at = fleet.clock.monotonic()
-    fleet.clock.advance(HEARTBEAT / 2)
+    fleet.clock.advance(HEARTBEAT_PERIOD / 2)
     await fleet.store.carry_out()
     fleet.hear()
-    assert fleet.reader.standing(Claim(AGENT, "new"), claimed_at) is Standing.WORKS
-    assert fleet.reader.standing(Claim(AGENT, "old"), claimed_at) is Standing.GONE
-    late_reader = board("late", fleet.clock).peers
-    late_reader.take(list(fleet.store.rows.values()))
-    assert late_reader.told(AGENT).session == "new", "nor for who reads it only now"
+    assert (
+        fleet.reader.holder_state(Claim(AGENT, "new"), claimed_at) is HolderState.WORKS
+    )
+    assert (
+        fleet.reader.holder_state(Claim(AGENT, "old"), claimed_at) is HolderState.GONE
+    )
+    late_reader = make_tracker("late", fleet.clock).peers
+    late_reader.apply_rows(list(fleet.store.rows.values()))
+    assert late_reader.last_heartbeat(AGENT).session == "new", (
+        "nor for who reads it only now"
+    )
 
 
 @scenario
@@ -161,7 +174,7 @@
     first = fleet.start("first")
     await fleet.beat_late(first)
     second = fleet.start("second")
-    await second.beat()
+    await second.write_next()
     await fleet.store.carry_out()
     assert fleet.row() == ("second", 1)
 
@@ -170,13 +183,13 @@
 async def test_a_late_heartbeat_is_no_sign_of_life(fleet):
     heart = fleet.start("s")
     await fleet.beat_late(heart)
-    await heart.beat()
+    await heart.write_next()
     fleet.hear()
-    fleet.clock.advance(SILENCE + 0.1)
+    fleet.clock.advance(HEARTBEAT_TIMEOUT + 0.1)
     await fleet.store.carry_out()
     fleet.hear()
     claim = Claim(AGENT, "s")
-    assert fleet.reader.standing(claim, 0.0) is Standing.SILENT
+    assert fleet.reader.holder_state(claim, 0.0) is HolderState.SILENT
     assert fleet.row() == ("s", 2)
 
 
@@ -184,11 +197,11 @@
 async def test_the_first_heartbeat_stands_whatever_was_written_since_it_was_read(fleet):
     """Without its fence, an engine gets no orders; the next beat may be 5 s away."""
     old = fleet.start("old")
-    await old.beat()
+    await old.write_next()
     await fleet.beat_late(old)
     new = fleet.start("new")
     await fleet.store.carry_out()
-    await new.beat()
+    await new.write_next()
     assert fleet.row() == ("new", 1)
     assert new.weights.fence == fleet.store.version
 
@@ -196,13 +209,13 @@
 @scenario
 async def test_a_lost_answer_does_not_stop_the_heartbeats(fleet):
     heart = fleet.start("s")
-    await heart.beat()
+    await heart.write_next()
     fence = heart.weights.fence
     for _ in range(5):
         await fleet.beat_unanswered(heart)
-        await heart.beat()
-        await heart.beat()
-        assert fleet.row() == ("s", heart.told.beat)
+        await heart.write_next()
+        await heart.write_next()
+        assert fleet.row() == ("s", heart.last.beat)
     assert heart.weights.fence == fence, "the fence stays that of the start"
 
 
@@ -211,7 +224,7 @@
     heart = fleet.start("s")
     await fleet.beat_unanswered(heart)
     assert not heart.weights.fence
-    await heart.beat()
+    await heart.write_next()
     assert 0 < heart.weights.fence <= fleet.store.version
 
 
@@ -221,8 +234,8 @@
     heart = fleet.start("s")
     await fleet.beat_unanswered(heart)
     fleet.store.unreadable = True
-    await heart.beat()
-    assert fleet.row() == ("s", heart.told.beat)
+    await heart.write_next()
+    assert fleet.row() == ("s", heart.last.beat)
     assert heart.weights.fence
 
 
@@ -230,16 +243,16 @@
 async def test_an_old_copy_of_the_row_does_not_stop_the_heartbeats(fleet):
     """The store may serve one to reads while it takes writes."""
     heart = fleet.start("s")
-    await heart.beat()
-    copy = await fleet.store.read(AGENTS, AGENT, beat_part(AGENT))
+    await heart.write_next()
+    copy = await fleet.store.read(AGENTS, AGENT, heartbeat_part(AGENT))
     await fleet.beat_unanswered(heart)
 
     async def read_old(table, key, part=""):
         return copy
 
     fleet.store.read = read_old
-    await heart.beat()
-    assert fleet.row() == ("s", heart.told.beat)
+    await heart.write_next()
+    assert fleet.row() == ("s", heart.last.beat)
 
 
 @scenario
@@ -247,7 +260,7 @@
     """Heartbeats of 1,600 agents take a tenth of the store's writes."""
     heart = fleet.start("s")
     for _ in range(10):
-        await heart.beat()
+        await heart.write_next()
     assert fleet.store.calls == ["commit"] * 10
 
 
@@ -256,7 +269,7 @@
     heart = fleet.start("s")
     for _ in range(10):
         await fleet.beat_unanswered(heart)
-        heart.board.peers.take(list(fleet.store.rows.values()))
+        heart.tracker.peers.apply_rows(list(fleet.store.rows.values()))
     assert fleet.store.calls == ["commit"] * 10
     assert fleet.row() == ("s", 10)
 
@@ -271,34 +284,34 @@
     comparing its version with the one known.
     """
     heart = fleet.start("s")
-    await heart.beat()
+    await heart.write_next()
     fleet.hear()
-    fleet.clock.advance(SILENCE + 0.1)
+    fleet.clock.advance(HEARTBEAT_TIMEOUT + 0.1)
     claim = Claim(AGENT, "s")
-    assert fleet.reader.standing(claim, 0.0) is Standing.SILENT
-    fleet.reader.take(list(fleet.store.rows.values()))
-    assert fleet.reader.standing(claim, 0.0) is Standing.SILENT
-    await heart.beat()
+    assert fleet.reader.holder_state(claim, 0.0) is HolderState.SILENT
+    fleet.reader.apply_rows(list(fleet.store.rows.values()))
+    assert fleet.reader.holder_state(claim, 0.0) is HolderState.SILENT
+    await heart.write_next()
     fleet.hear()
-    assert fleet.reader.standing(claim, 0.0) is Standing.WORKS
+    assert fleet.reader.holder_state(claim, 0.0) is HolderState.WORKS
 
 
 @scenario
 async def test_an_older_row_of_an_agent_is_left_out(fleet):
     """A table that was read for several processes may be told behind its changes."""
     old = fleet.start("old")
-    await old.beat()
+    await old.write_next()
     before = list(fleet.store.rows.values())
     new = fleet.start("new")
-    await new.beat()
+    await new.write_next()
     fleet.hear()
-    fleet.reader.take(before)
-    assert fleet.reader.told(AGENT).session == "new"
-    gone = Row(AGENTS, AGENT, fleet.store.version + 1, None, beat_part(AGENT))
-    fleet.reader.take([*fleet.store.rows.values(), gone])
-    assert fleet.reader.told(AGENT).session == "", "its row was removed since"
-    fleet.reader.take(list(fleet.store.rows.values()))
-    assert fleet.reader.told(AGENT).session == ""
-    late = board("late", fleet.clock).peers
-    late.take([*fleet.store.rows.values(), gone])
-    assert late.told(AGENT).session == "", "nor within one answer"
+    fleet.reader.apply_rows(before)
+    assert fleet.reader.last_heartbeat(AGENT).session == "new"
+    gone = Row(AGENTS, AGENT, fleet.store.version + 1, None, heartbeat_part(AGENT))
+    fleet.reader.apply_rows([*fleet.store.rows.values(), gone])
+    assert fleet.reader.last_heartbeat(AGENT).session == "", "its row was removed since"
+    fleet.reader.apply_rows(list(fleet.store.rows.values()))
+    assert fleet.reader.last_heartbeat(AGENT).session == ""
+    late = make_tracker("late", fleet.clock).peers
+    late.apply_rows([*fleet.store.rows.values(), gone])
+    assert late.last_heartbeat(AGENT).session == "", "nor within one answer"
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -8,7 +8,7 @@
 
 from gypsumshift.fetch import Fetcher, FetchError
 from gypsumshift.jobs.engine import EngineReport
-from gypsumshift.jobs.station import Home, Station
+from gypsumshift.jobs.localengine import AgentIdentity, LocalEngine
 from gypsumshift.serving import BackendServer, Directory
 from gypsumshift.serving.directory import ServerStart
 from gypsumshift.serving.pool import Pool
@@ -72,31 +72,31 @@
     return EngineReport({"m": version}, False, orders, 0, 0, start)
 
 
-def make_station(*reports):
+def make_local_engine(*reports):
     directory = Directory()
     directory.set_server(born(1))
-    home = Home("a", SERVICE, ADDRESS)
-    station = Station(home, directory, Reporter(*reports), ManualClock())
+    home = AgentIdentity("a", SERVICE, ADDRESS)
+    station = LocalEngine(home, directory, Reporter(*reports), ManualClock())
     return station, directory
 
 
 def test_a_report_of_another_start_is_not_believed():
     async def scenario():
-        station, directory = make_station(report(1, 3), report(1, 3), report(2, 1))
-        assert await station.ask()
+        station, directory = make_local_engine(report(1, 3), report(1, 3), report(2, 1))
+        assert await station.fetch_report()
         assert station.versions == {"m": 3}
         directory.set_server(born(2))
         assert station.versions == {}
-        assert await station.ask() is None
+        assert await station.fetch_report() is None
         assert station.versions == {}
-        assert (await station.ask()).versions == {"m": 1}
+        assert (await station.fetch_report()).versions == {"m": 1}
         assert station.versions == {"m": 1}
 
     asyncio.run(scenario())
 
 
 def test_a_server_of_another_service_at_the_address_is_not_the_engine():
-    station, directory = make_station()
+    station, directory = make_local_engine()
     directory.forget_server("e1")
     directory.set_server(born(1, service="app"))
     assert station.server is None
@@ -111,7 +111,7 @@
         engine = FakeEngine()
         engine.hold.clear()
         agent = world.agent(engine=engine)
-        agent.station.directory.set_server(born(1, id="e-a"))
+        agent.local_engine.directory.set_server(born(1, id="e-a"))
         await world.submit()
         while len(engine.running) < 4:
             await asyncio.sleep(0.01)
@@ -120,8 +120,8 @@
             # The streams end as `Fetcher.cut` ends them.
             engine.break_at = dict.fromkeys(engine.running, 2)
         engine.length = 3
-        agent.station.directory.set_server(born(2, id="e-a"))
-        assert agent.station.versions == {}
+        agent.local_engine.directory.set_server(born(2, id="e-a"))
+        assert agent.local_engine.versions == {}
         engine.hold.set()
         results = await world.results()
         assert len(results) == 4
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -6,12 +6,12 @@
 
 import attrs
 
-from gypsumshift.jobs.claims import SPREAD
+from gypsumshift.jobs.capacity import FreeCapacity
+from gypsumshift.jobs.claimtracker import CANDIDATES
 from gypsumshift.jobs.model import Item
-from gypsumshift.jobs.room import Room
 from gypsumshift.jobs.schedule import UNIT_ITEMS, begin_order, split
 from tests.builders import ManualClock
-from tests.jobs_world import MODEL, board, claim_row, items, job, job_row
+from tests.jobs_world import MODEL, claim_row, items, job, job_row, make_tracker
 
 # Seconds for one event, and the most events of an item.
 EVENT = 0.05
@@ -52,7 +52,7 @@
         room = free[engine] - len(queues[engine])
         fitting = [unit for unit in waiting if len(unit.items) <= room]
         if fitting:
-            taken = chance.choice(fitting[:SPREAD])
+            taken = chance.choice(fitting[:CANDIDATES])
             waiting.remove(taken)
             queues[engine] += [item.id for item in by_key[taken.key].items]
         while free[engine] and queues[engine]:
@@ -129,8 +129,8 @@
         Whether the slower one knows that it is.
     """
     clock = ManualClock()
-    own = board(clock=clock)
-    own.take_jobs([job_row(job(units))])
+    own = make_tracker(clock=clock)
+    own.apply_job_rows([job_row(job(units))])
     by_key = {unit.key: unit for unit in units}
     start, ends = clock.monotonic(), ([], [])
     left = set(by_key)
@@ -140,12 +140,14 @@
             pace = UNEVEN[engine]
             slower = [MODEL] if aware and engine else []
             running = [end for end in ends[engine] if end > clock.monotonic()]
-            room = Room(UNEVEN_PLACES - len(running))
-            found = own.choose([MODEL], {MODEL: 1}, room, slower)
+            room = FreeCapacity(UNEVEN_PLACES - len(running))
+            found = own.choose_candidate([MODEL], {MODEL: 1}, room, slower)
             if found is None:
                 continue
             left.discard(found.unit.key)
-            own.take_claims([claim_row("job", found.unit.key, "x", "s", 3, done=True)])
+            own.apply_claim_rows(
+                [claim_row("job", found.unit.key, "x", "s", 3, done=True)]
+            )
             for item in by_key[found.unit.key].items:
                 ends[engine].append(clock.monotonic() + lengths[item.id] * pace)
         clock.advance(LOOK / 10)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -5,7 +5,7 @@
 
 import logbook
 
-from gypsumshift.jobs.heart import HEARTBEAT
+from gypsumshift.jobs.heartbeatwriter import HEARTBEAT_PERIOD
 from gypsumshift.memory import MemoryTables
 from gypsumshift.neighbours import GATHER as NEIGHBOURS_GATHER
 from gypsumshift.platforms import Changes, Row, Write
@@ -87,7 +87,7 @@
     agent = world.agent("a")
     gathers = {watch.table: watch.gather for watch in agent.watches}
     assert gathers["claims"] == gathers["jobs"] == GATHER
-    assert gathers["agents"] <= HEARTBEAT / 2
+    assert gathers["agents"] <= HEARTBEAT_PERIOD / 2
 
 
 def test_a_table_counts_as_heard_between_its_rarest_answers():
