--- a/gypsumshift/jobs/agent.py
+++ b/gypsumshift/jobs/agent.py
@@ -1,8 +1,8 @@
-"""Agent: runs items of batch jobs on the model engine beside it.
+"""Agent that claims items of batch jobs and runs them on one model engine.
 
-One agent stands beside one engine and is the only one to give it orders. It takes
-work from the store as its engine has room, so that slow, loading and crashed
-engines take less without anybody deciding it.
+Each engine has one agent, the only process that gives it orders. The agent claims work
+from the store as its engine has capacity, so slow, loading and crashed engines get less
+work without a central scheduler.
 """
 
 import asyncio
@@ -40,39 +40,40 @@
 
 __all__ = ["Agent"]
 
-# Seconds between reports of the engine, which are free on its own host.
+# Seconds between two reports of the engine, which cost little on its own host.
 REPORT_PERIOD = 0.2
-# Seconds after which the agent looks for work again though nothing was told.
+# Seconds after which the agent tries to claim work again without being woken.
 CLAIM_PERIOD = 0.25
-# Seconds for which a slow engine gets nothing, and for which it then gets one unit at
-# a time, to be measured again: slowness was seen to last 6 to 8 s.
+# Seconds for which a slow engine gets no work, and up to which it then gets one unit at
+# a time to be measured again: engines were seen to stay slow for 6 to 8 s.
 SLOW_PAUSE = 2.0
 SLOW_PROBATION = 4.0
-# Claims that an agent makes side by side. One after the other, each waited for the
-# last: while half of the store's answers were lost, items were claimed up to 3.1 s
-# after their step had come (logs of a play).
+# Claims that an agent makes concurrently. With a single sequence, each claim waited for
+# the one before: while half of the store's answers were lost, items were claimed up to
+# 3.1 s after their step had arrived.
 CONCURRENT_CLAIMS = 3
-# Seconds between answers of the table of agents: half of a heartbeat, by which a lost
-# agent is missed later.
+# Seconds between answers of the change feed of the table of agents: half of a heartbeat
+# period, by which the loss of an agent is detected later.
 PEERS_GATHER = 0.2
-# Seconds between two savings of what long runs have generated.
+# Seconds between two saves of what long runs have generated.
 SAVE_PERIOD = 1.0
-# Items that may wait for their scores, in engines full: more show that the application
-# is slow, and other agents may have better luck with it.
+# Items that may wait for their scores, as a multiple of the engine's slots. More
+# waiting items show that the application that scores them is slow; other agents may get
+# faster answers from it.
 SCORING_ROUNDS = 2
-# Seconds between two looks at what claims bring while this process stops: several
-# usual answers of the store.
-LEAVE_PAUSE = 0.05
+# Seconds between two checks for stored claims while this agent drains: several usual
+# answer times of the store.
+DRAIN_POLL_PERIOD = 0.05
 
 log = logs.logger("agent")
 
 
 class Agent:
-    """Claims units while its engine has room, and hands them over when it cannot.
+    """Claims units while its engine has capacity, and hands them over when it fails.
 
     Parameters
     ----------
-    home : Home
+    identity : AgentIdentity
     store : RowStore
     directory : Directory
     engine : EngineClient
@@ -83,10 +84,19 @@
     chance : random.Random
     metrics : Metrics
     policy : Policy
-    presence : Presence
-        Asks agents that were not heard of for a while.
+    liveness : LivenessProbe
+        Checks agents without a recent heartbeat.
     store_writes : float
         Writes a second that the store takes from all processes.
+
+    Attributes
+    ----------
+    wake_events : list of asyncio.Event
+        One for each claim loop; set when there may be work or capacity.
+    slow_at : float
+        When the engine was last found to be slow, by the monotonic clock, in seconds.
+    draining : bool
+        Whether this agent gives its work back and claims none.
     """
 
     def __init__(
@@ -130,7 +140,13 @@
             self.wake,
         )
         self.claimer = Claimer(
-            self.own_claim, store, self.tracker, self.runner, liveness, clock, metrics
+            self.own_claim,
+            store,
+            self.tracker,
+            self.runner,
+            liveness,
+            clock,
+            metrics,
         )
         self.heartbeat_writer = HeartbeatWriter(
             self.own_claim.session,
@@ -165,19 +181,19 @@
             self.peer_watch,
         ]
 
-    # What is told.
+    # Callbacks.
 
     def peers_current_at(self) -> float:
-        """Return when the store last told of the other agents, in seconds."""
+        """Return when the table of agents was last current, in seconds."""
         return self.peer_watch.current_at
 
     def wake(self) -> None:
-        """Have this agent look for work: there may be some, or room for it."""
-        for news in self.wake_events:
-            news.set()
+        """Wake all claim loops: there may be work, or capacity for it."""
+        for event in self.wake_events:
+            event.set()
 
     def apply_job_rows(self, rows: list[Row]) -> None:
-        """Take rows of the table of jobs."""
+        """Apply rows of the table of jobs."""
         for job in self.tracker.apply_job_rows(rows):
             if job.model:
                 self.weights.note_job(job)
@@ -185,17 +201,17 @@
         self.wake()
 
     def apply_claim_rows(self, rows: list[Row]) -> None:
-        """Take rows of the table of claims."""
+        """Apply rows of the table of claims."""
         self.tracker.apply_claim_rows(rows)
         for row in rows:
             self.runner.drop_if_taken_over(row)
         self.wake()
 
     def note_restart(self, old: BackendServer) -> None:
-        """Forget what was believed of the engine's start that is no more.
+        """Reset the state of this agent's engine after a restart.
 
-        Its runs are at no engine any more; their streams are cut and go on from the
-        events that are held.
+        Its runs have ended with the old start; their streams are cut and continue after
+        the events that were received.
         """
         if old.address != self.identity.address or old.service != self.identity.service:
             return
@@ -208,31 +224,35 @@
     # Tasks.
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Run all tasks of this agent until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(run_all(self.watches))
             group.create_task(self.heartbeat_writer.run())
             group.create_task(self.run_engine_loop())
-            for news in self.wake_events:
-                group.create_task(self.run_claim_loop(news))
+            for event in self.wake_events:
+                group.create_task(self.run_claim_loop(event))
             group.create_task(self.run_save_loop())
 
     async def run_engine_loop(self) -> None:
-        """Watch the engine, and bring it the weights that it needs."""
+        """Check the engine and load the weights that it needs, periodically."""
         while True:
             await self.update_engine()
             await self.clock.sleep(REPORT_PERIOD)
 
     async def update_engine(self) -> None:
-        """Ask for a report; hand work over or give an order where it calls for it."""
-        was_healthy, versions = self.local_engine.healthy, self.weights.ready_versions()
+        """Fetch a report; hand work over or send an order where it requires that."""
+        was_healthy, versions = (
+            self.local_engine.healthy,
+            self.weights.ready_versions(),
+        )
         report = await self.local_engine.fetch_report()
         if report is not None:
             self.weights.note_report(report)
             if not was_healthy or versions != self.weights.ready_versions():
                 self.wake()
         if not self.local_engine.healthy:
-            # Claims that were carried out unanswered are given back as well.
+            # Claims that were stored though their answers were lost have to be given
+            # back as well, so their units are started first.
             self.claimer.start_held_units()
             self.runner.hand_over_all("the engine does not serve")
             return
@@ -243,7 +263,7 @@
             await self.weights.order_due_load(report)
 
     def hand_over_if_slow(self) -> None:
-        """Hand the items over where this engine is far behind its peers."""
+        """Hand all units over if this engine is far behind its peers."""
         pace = self.runner.pace
         own, peers = pace.current(), self.peers.paces()
         if self.weights.loading_model or not is_slow(own, peers):
@@ -254,7 +274,7 @@
         pace.clear_gaps()
         logs.event(
             log,
-            "The engine is slow.",
+            "The engine is much slower than its peers; handing its units over.",
             seconds_an_event=round(own, 4),
             peers=[round(pace, 4) for pace in sorted(peers)],
         )
@@ -262,14 +282,14 @@
         self.runner.hand_over_all("the engine is slow")
 
     async def run_save_loop(self) -> None:
-        """Save what long runs have generated, again and again."""
+        """Save what long runs have generated, periodically."""
         while True:
             await self.clock.sleep(SAVE_PERIOD)
             if self.policy.saved_runs:
                 await self.runner.save_partials()
 
     def free_slots(self) -> int:
-        """Return the items that the engine could take now."""
+        """Return the number of items that the engine could take now."""
         limits = self.local_engine.limits
         return (
             self.free_capacity(limits).free_slots
@@ -278,9 +298,9 @@
         )
 
     def free_capacity(self, limits: EngineLimits) -> FreeCapacity:
-        """Return what the engine should be given beside what it runs."""
-        coming = self.claimer.pending_units()
-        load = self.runner.load + sum(len(unit.items) for unit in coming)
+        """Return the capacity for further items, pending claims deducted."""
+        pending = self.claimer.pending_units()
+        load = self.runner.load + sum(len(unit.items) for unit in pending)
         since = self.clock.monotonic() - self.slow_at
         if since < SLOW_PAUSE:
             return NO_CAPACITY
@@ -288,22 +308,22 @@
             return NO_CAPACITY
         if self.runner.scoring_count >= SCORING_ROUNDS * limits.slots:
             return NO_CAPACITY
-        sizes = [size for unit in coming for size in [unit.memory] * len(unit.items)]
+        sizes = [size for unit in pending for size in [unit.memory] * len(unit.items)]
         return FreeCapacity(
             limits.slots - load, limits.memory, (*self.runner.sizes, *sizes)
         )
 
-    async def run_claim_loop(self, news: asyncio.Event) -> None:
-        """Claim units while the engine has room."""
+    async def run_claim_loop(self, wake_event: asyncio.Event) -> None:
+        """Claim units when woken, and every `CLAIM_PERIOD`."""
         while True:
-            news.clear()
+            wake_event.clear()
             await self.claim_units()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(CLAIM_PERIOD):
-                    await news.wait()
+                    await wake_event.wait()
 
     async def claim_units(self) -> None:
-        """Claim one unit after another."""
+        """Claim one unit after another while the engine has capacity."""
         while not self.draining and self.local_engine.healthy:
             limits = self.local_engine.limits
             if limits is None:
@@ -325,9 +345,10 @@
                 return
 
     async def may_claim(self, candidate: Candidate, limits: EngineLimits) -> bool:
-        """Tell whether a unit of a silent agent may be claimed, once it was asked.
+        """Probe a silent agent; return whether its unit may be claimed.
 
-        Meanwhile other claims may have taken the room, or this process been stopped.
+        During the probe, other claims may have used up the capacity, or this process
+        may have begun to stop.
         """
         if not await self.claimer.may_claim(candidate):
             return False
@@ -336,10 +357,11 @@
         return fits and not self.draining
 
     async def drain(self) -> None:
-        """Give all work back, and wait until results are stored.
+        """Give all units back, and wait until results are stored.
 
-        Claims that are on their way bring work as long as they are: not returned, a
-        unit waits for others to miss this process, 1.5 s.
+        Claims that were not answered yet may still assign units to this agent. A unit
+        that is not given back waits 1.5 s until other agents detect the loss of this
+        process.
         """
         self.draining = True
         while True:
@@ -347,4 +369,4 @@
             await self.runner.drain()
             if not self.tracker.pending_claims and not self.runner.units:
                 return
-            await self.clock.sleep(LEAVE_PAUSE)
+            await self.clock.sleep(DRAIN_POLL_PERIOD)
--- a/gypsumshift/jobs/claimer.py
+++ b/gypsumshift/jobs/claimer.py
@@ -1,4 +1,4 @@
-"""Claimer: makes an agent's claims, and begins the units that it holds."""
+"""Claims units of batch jobs for an agent, and starts the units that it holds."""
 
 from gypsumshift import logs
 from gypsumshift.clock import Clock
@@ -12,27 +12,33 @@
 
 __all__ = ["Claimer"]
 
-# Seconds between two questions to silent agents. In a fleet of 1,600, most agents are
-# silent for longer than the usual time, and each is asked as often as it asks.
+# Seconds between two probes that this agent sends. In a fleet of 1,600, most agents are
+# without a heartbeat for longer than the time-out, and each agent receives as many
+# probes as it sends.
 PROBE_PERIOD = 0.1
 
 log = logs.logger("claimer")
 
 
 class Claimer:
-    """Writes claims, and has units run that are this agent's.
+    """Writes claims to the store, and starts the units that this agent holds.
 
     Parameters
     ----------
-    own : Claim
-        What the agent writes where it claims.
+    own_claim : Claim
+        Value that the agent writes into the rows of its claims.
     store : RowStore
-    board : ClaimBoard
+    tracker : ClaimTracker
     runner : UnitRunner
-    presence : Presence
-        Asks agents that were not heard of for a while.
+    liveness : LivenessProbe
+        Checks agents without a recent heartbeat.
     clock : Clock
     metrics : Metrics
+
+    Attributes
+    ----------
+    probed_at : float
+        When the last probe was sent, by the monotonic clock, in seconds.
     """
 
     def __init__(
@@ -55,48 +61,57 @@
         self.probed_at = float("-inf")
 
     def pending_units(self) -> list[UnitSummary]:
-        """Return the units whose claims are on their way."""
-        places = self.tracker.pending_claims.keys() - self.runner.units.keys()
-        return [unit for place in places if (unit := self.tracker.find_unit(*place))]
+        """Return the units whose claims were sent and not answered yet."""
+        keys = self.tracker.pending_claims.keys() - self.runner.units.keys()
+        return [unit for key in keys if (unit := self.tracker.find_unit(*key))]
 
     @property
     def may_probe(self) -> bool:
-        """Whether a silent agent may be asked now."""
+        """Whether a probe may be sent now."""
         return self.clock.monotonic() - self.probed_at >= PROBE_PERIOD
 
     async def may_claim(self, candidate: Candidate) -> bool:
-        """Ask the silent holder of a unit; tell whether the unit may be claimed.
+        """Probe the holder of a unit; return whether the unit may be claimed.
 
-        A heartbeat or another claim that came while it was asked goes before an answer
-        that did not come.
+        A heartbeat or another claim that arrived during the probe takes precedence
+        over a probe that failed.
         """
         if await self.probe_holder(candidate.silent_claim):
             return False
         return self.tracker.is_claimable(candidate)
 
     async def probe_holder(self, claim: Claim) -> bool:
-        """Ask the silent holder of a claim whether it works."""
+        """Probe the holder of a claim; return whether it works."""
         self.probed_at = self.clock.monotonic()
         works = await self.liveness.is_alive(claim)
         if works:
             self.tracker.peers.note_alive(claim)
-        logs.event(log, "Asked a silent agent.", agent=claim.agent, works=works)
+        logs.event(
+            log,
+            "Probed an agent without a recent heartbeat.",
+            agent=claim.agent,
+            works=works,
+        )
         self.metrics.count("asked", works=str(works).lower())
         return works
 
     def start_held_units(self) -> None:
-        """Run units that the store has as this agent's, whether that was answered."""
+        """Start the units that the store assigns to this agent.
+
+        Includes units whose claims were stored though their answers were lost.
+        """
         for job, unit in self.tracker.own_units():
-            asked = self.tracker.pending_claims.get((job.id, unit.key))
-            self.start_if_held(asked or Candidate(job, unit, ABSENT, True))
+            pending = self.tracker.pending_claims.get((job.id, unit.key))
+            self.start_if_held(pending or Candidate(job, unit, ABSENT, True))
 
     def start_if_held(self, candidate: Candidate) -> None:
-        """Run a unit if this agent holds it, by the newest that is known of its claim.
+        """Start a unit if this agent holds it by the newest known version of its claim.
 
-        The answer to a claim may be old: the store's changes tell the claim too, and
-        by then its unit may be done, given back or held by another agent. Begun by
-        answers alone, units ran again (16 runs of 8 items where the store answered
-        0.3 s after it had told), and their results met in one transaction.
+        The answer to a claim may be out of date: the store's change feed delivers the
+        claim too, and the unit may already be done, given back or held by another
+        agent. When units were started on answers alone, they ran again (16 runs of 8
+        items where the store answered 0.3 s after its feed), and both runs' results met
+        in one transaction.
         """
         job, unit = candidate.job, candidate.unit
         held = self.tracker.find_claim(job.id, unit.key)
@@ -105,24 +120,27 @@
             self.runner.start_unit(candidate, held.version)
 
     async def claim(self, candidate: Candidate) -> bool:
-        """Claim a unit; return whether to go on claiming."""
-        place = (candidate.job.id, candidate.unit.key)
-        self.tracker.pending_claims[place] = candidate
+        """Claim a unit; return whether to continue with further claims."""
+        key = (candidate.job.id, candidate.unit.key)
+        self.tracker.pending_claims[key] = candidate
         try:
             return await self.write_claim(candidate)
         finally:
-            self.tracker.pending_claims.pop(place, None)
+            self.tracker.pending_claims.pop(key, None)
 
     async def write_claim(self, candidate: Candidate) -> bool:
-        """Write a claim, and run its unit where it holds."""
+        """Write a claim and, if it is stored, start its unit.
+
+        Returns whether to continue with further claims.
+        """
         job, unit = candidate.job, candidate.unit
         value = to_row(self.own_claim)
         write = Write(CLAIMS, unit.key, value, candidate.version, part=job.id)
-        asked_at = self.clock.monotonic()
+        sent_at = self.clock.monotonic()
         outcome = await self.store.commit([write])
         if isinstance(outcome, Committed):
             row = Row(CLAIMS, unit.key, outcome.version, value, job.id)
-            self.log_late_answer(row, asked_at)
+            self.log_late_answer(row, sent_at)
             self.tracker.apply_claim_rows([row])
             self.start_if_held(candidate)
             return True
@@ -131,32 +149,32 @@
         return False
 
     def explains_conflict(self, candidate: Candidate) -> bool:
-        """Tell whether what was read of a claim says why it was refused.
+        """Return whether the claims that were read explain why a claim was refused.
 
-        Else the next try is the same: 133 a second were seen for a job whose removal
-        had not been told.
+        Otherwise the next try would be the same: 133 tries a second were seen for a job
+        whose removal had not reached this agent.
         """
         held = self.tracker.find_claim(candidate.job.id, candidate.unit.key)
         return held is not None and held.version != candidate.version
 
-    def log_late_answer(self, row: Row, asked_at: float) -> None:
-        """Log that a claim was told by the store's changes before it was answered."""
+    def log_late_answer(self, row: Row, sent_at: float) -> None:
+        """Log a claim that the change feed delivered before its answer arrived."""
         held = self.tracker.find_claim(row.part, row.key)
         if held is None or held.version < row.version:
             return
         logs.event(
             log,
-            "A claim was told before it was answered.",
+            "The change feed delivered a claim before its answer arrived.",
             job=row.part,
             unit=row.key,
             claim_version=row.version,
             known_version=held.version,
             done=held.claim.done,
-            answered_s=round(self.clock.monotonic() - asked_at, 3),
+            answered_s=round(self.clock.monotonic() - sent_at, 3),
         )
 
     async def read_claims(self, job_id: str) -> bool:
-        """Read who holds the units of a job; return whether that worked."""
+        """Read the claims of a job from the store; return whether that succeeded."""
         rows = await self.store.scan(CLAIMS, "", job_id)
         if isinstance(rows, Unavailable):
             return False
