--- a/gypsumshift/jobs/claimtracker.py
+++ b/gypsumshift/jobs/claimtracker.py
@@ -1,10 +1,9 @@
-"""Claims: which unit of which batch job an agent runs next.
+"""Tracks open batch jobs and claims, and chooses the next unit that an agent claims.
 
-The decision answers a burst: a whole step arrives at once at agents whose engines
-have room for a part of it, and its trainer waits for nine tenths of the groups.
-Each agent takes what it has room for, so slow and loading engines take less.
-Claims only save double work: two runs of an item do no harm, and its result is
-stored once.
+A whole step arrives at once at agents whose engines each have capacity for a part of
+it, and its trainer waits for nine tenths of the groups. Each agent claims only what its
+engine has capacity for, so slow and loading engines get less work. Claims merely save
+double work: two runs of an item do no harm, and its result is stored once.
 """
 
 import random
@@ -29,28 +28,30 @@
 
 __all__ = ["Candidate", "ClaimTracker", "StoredClaim"]
 
-# Seconds that a unit waits for an engine of its own model before another takes it.
+# Seconds that a unit waits for an engine that serves its model before an engine of
+# another model may run it.
 STEAL_AFTER = 0.8
-# Seconds that a unit of long items waits for an engine that is not slower than others
+# Seconds that a unit of long items is left to engines that are not slower than others
 # of its model. The longest items take 7.3 s of the 7.5 s that a step has, and 9.4 to
-# 10.2 s at an engine that is built slower; a place becomes free within a second.
+# 10.2 s on an engine with slower hardware; a slot becomes free within a second.
 LONG_UNIT_WAIT = 1.0
-# Units that come next of which an agent takes any: a whole step arrives at all agents
-# at once, and where each took the very next unit, all but one lost each claim.
+# Number of next units from which an agent chooses at random. A whole step arrives at
+# all agents at once: if each claimed the very next unit, all but one would lose each
+# claim.
 CANDIDATES = 6
 
 
 @attrs.frozen
 class StoredClaim:
-    """A claim as the store holds it.
+    """A claim with the version of its row.
 
     Attributes
     ----------
     claim : Claim
     version : int
-        Of its row, the condition to replace it.
+        Version of its row, which a write that replaces it has to name.
     seen_at : float
-        When it was told here, by the monotonic clock, in seconds.
+        When it was received, by the monotonic clock, in seconds.
     """
 
     claim: Claim
@@ -70,8 +71,8 @@
         Version that the row of its claim must have.
     taken_over : bool
         Whether another agent held it before.
-    silent : Claim or None
-        Claim of an agent that was not heard of for a while, and is to be asked first.
+    silent_claim : Claim or None
+        Claim of an agent without a recent heartbeat, which has to be probed first.
     """
 
     job: Job
@@ -83,19 +84,19 @@
 
 @attrs.define
 class OpenJob:
-    """One job that is open.
+    """An open job, with the order of its units and their claims.
 
     Attributes
     ----------
     job : Job
-    since : float
+    first_seen_at : float
         When it was first seen, by the monotonic clock, in seconds.
     order, short_order : list of UnitSummary
-        The order in which its units are begun, and that for slower engines.
-    long : frozenset of str
-        Units of long items.
+        Order in which its units are claimed, and the order for slower engines.
+    long_units : frozenset of str
+        Keys of the units of long items.
     claims : dict
-        `Held` by unit.
+        `StoredClaim` by unit.
     """
 
     job: Job
@@ -107,22 +108,30 @@
 
 
 class ClaimTracker:
-    """What is known of open jobs and claims.
+    """Tracks open jobs and the claims of their units, as the store reports them.
 
     Parameters
     ----------
     session : str
-        Start of this agent.
+        Session of this agent.
     clock : Clock
     chance : random.Random
-        Chooses among the units that come next.
+        Chooses among the next units.
     peers : Peers
-        Tell which agents still work on what they claimed.
+        Determines which agents still work on what they claimed.
 
     Attributes
     ----------
-    claiming : dict
-        `Candidate` by job and unit of the claims that this agent has on their way.
+    open_jobs : dict
+        `OpenJob` by job.
+    ended_jobs : set of str
+        Jobs that have ended and that the store still has.
+    early_claims : dict
+        `StoredClaim` by unit, by job, of jobs that have not been received yet.
+    groups_by_job : dict
+        Groups of each job that the store has.
+    pending_claims : dict
+        `Candidate` by job and unit, of the claims that were sent and not answered yet.
     """
 
     def __init__(self, session: str, clock: Clock, chance: random.Random, peers: Peers):
@@ -137,7 +146,7 @@
         self.pending_claims: dict[tuple[str, str], Candidate] = {}
 
     def apply_job_rows(self, rows: list[Row]) -> list[Job]:
-        """Take rows of the table of jobs; return the jobs that are new."""
+        """Apply rows of the table of jobs; return the jobs that are new."""
         new = []
         for row in rows:
             if row.value is None:
@@ -151,117 +160,124 @@
         return new
 
     def is_known(self, job_id: str) -> bool:
-        """Tell whether a job was told before."""
+        """Return whether a job is open or has ended."""
         return job_id in self.open_jobs or job_id in self.ended_jobs
 
     def close_job(self, job_id: str) -> None:
-        """Take the end of a job."""
+        """Record the end of a job."""
         self.ended_jobs.add(job_id)
         self.open_jobs.pop(job_id, None)
         self.early_claims.pop(job_id, None)
 
     def remove_job(self, job_id: str) -> None:
-        """Take that a job is removed from the store."""
+        """Remove a job that was deleted from the store."""
         self.close_job(job_id)
         self.ended_jobs.discard(job_id)
         self.groups_by_job.pop(job_id, None)
 
     def known_groups(self) -> set[str]:
-        """Return the groups of the jobs that the store has."""
+        """Return the groups of all jobs that the store has."""
         return set().union(*self.groups_by_job.values())
 
     def add_job(self, row: Row, job: Job) -> bool:
-        """Take a new job; one that another writer put there is not taken."""
+        """Add a new job; return False if its row is stored under another job's id."""
         if job.id != row.part:
             return False
-        seen = self.known_groups()
+        groups = self.known_groups()
         self.groups_by_job[job.id] = {unit.group for unit in job.units}
         claims = self.early_claims.pop(job.id, {})
         self.open_jobs[job.id] = OpenJob(
             job,
             self.clock.monotonic(),
-            begin_order(job, seen),
-            begin_order(job, seen, shortest=True),
+            begin_order(job, groups),
+            begin_order(job, groups, shortest=True),
             long_units(job, LONG_FACTOR),
             claims,
         )
         return True
 
     def apply_claim_rows(self, rows: list[Row]) -> None:
-        """Take rows of the table of claims."""
+        """Apply rows of the table of claims."""
         current = [
-            r for r in rows if r.value is not None and r.part not in self.ended_jobs
+            row
+            for row in rows
+            if row.value is not None and row.part not in self.ended_jobs
         ]
         for row, claim in parse_rows(current, Claim):
-            held = StoredClaim(claim, row.version, self.clock.monotonic())
-            tracked = self.open_jobs.get(row.part)
-            # A claim may be told before its job, by another watch.
+            stored = StoredClaim(claim, row.version, self.clock.monotonic())
+            open_job = self.open_jobs.get(row.part)
+            # Another watch delivers the jobs, so a claim may arrive before its job.
             claims = (
-                tracked.claims
-                if tracked
+                open_job.claims
+                if open_job
                 else self.early_claims.setdefault(row.part, {})
             )
             known = claims.get(row.key)
-            if known is None or known.version < held.version or claim.done:
-                claims[row.key] = held
+            if known is None or known.version < stored.version or claim.done:
+                claims[row.key] = stored
 
-    def is_free(self, held: StoredClaim | None) -> bool:
-        """Tell whether a unit may be claimed, once a silent holder was asked."""
-        if held is None or not held.claim.agent:
+    def is_free(self, stored: StoredClaim | None) -> bool:
+        """Return whether a unit may be claimed, once a silent holder was probed."""
+        if stored is None or not stored.claim.agent:
             return True
-        return not held.claim.done and self.holder_state(held) is not HolderState.WORKS
+        return (
+            not stored.claim.done and self.holder_state(stored) is not HolderState.WORKS
+        )
 
     def is_claimable(self, candidate: Candidate) -> bool:
-        """Tell whether what made a unit a candidate still holds."""
-        place = (candidate.job.id, candidate.unit.key)
-        held = self.find_claim(*place)
-        version = held.version if held else ABSENT
+        """Return whether the conditions that made a unit a candidate still hold."""
+        key = (candidate.job.id, candidate.unit.key)
+        stored = self.find_claim(*key)
+        version = stored.version if stored else ABSENT
         unchanged = candidate.job.id in self.open_jobs and version == candidate.version
-        return unchanged and self.is_free(held) and place not in self.pending_claims
+        return unchanged and self.is_free(stored) and key not in self.pending_claims
+
+    def holder_state(self, stored: StoredClaim) -> HolderState:
+        """Return the state of the agent that holds a claim."""
+        return self.peers.holder_state(stored.claim, stored.seen_at, stored.version)
 
-    def holder_state(self, held: StoredClaim) -> HolderState:
-        """Return what is believed of the agent that holds a claim."""
-        return self.peers.holder_state(held.claim, held.seen_at, held.version)
+    def silent_claim(self, stored: StoredClaim | None) -> Claim | None:
+        """Return the claim if its holder has to be probed before the unit is claimed.
 
-    def silent_claim(self, held: StoredClaim | None) -> Claim | None:
-        """Return the claim whose holder is to be asked before its unit is taken."""
-        if held is None or not held.claim.agent:
+        None where the unit is not held, or its holder needs no probe.
+        """
+        if stored is None or not stored.claim.agent:
             return None
-        return held.claim if self.holder_state(held) is HolderState.SILENT else None
+        return stored.claim if self.holder_state(stored) is HolderState.SILENT else None
 
     def find_unit(self, job_id: str, key: str) -> UnitSummary | None:
-        """Return a unit of an open job."""
-        tracked = self.open_jobs.get(job_id)
-        units = tracked.order if tracked else ()
+        """Return a unit of an open job; None where there is none of this key."""
+        open_job = self.open_jobs.get(job_id)
+        units = open_job.order if open_job else ()
         return next((unit for unit in units if unit.key == key), None)
 
     def find_claim(self, job_id: str, key: str) -> StoredClaim | None:
         """Return the claim of a unit of an open job; None where none is known."""
-        tracked = self.open_jobs.get(job_id)
-        return tracked.claims.get(key) if tracked else None
+        open_job = self.open_jobs.get(job_id)
+        return open_job.claims.get(key) if open_job else None
 
-    def is_own(self, held: StoredClaim | None) -> bool:
-        """Tell whether a claim is this agent's, of a unit that is not done."""
-        if held is None:
+    def is_own(self, stored: StoredClaim | None) -> bool:
+        """Return whether a claim is this agent's and its unit is not done."""
+        if stored is None:
             return False
-        return held.claim.session == self.session and not held.claim.done
+        return stored.claim.session == self.session and not stored.claim.done
 
     def own_units(self) -> list[tuple[Job, UnitSummary]]:
-        """Return the units that this agent holds by the store and are not done."""
+        """Return the unfinished units that the store assigns to this agent."""
         return [
-            (tracked.job, unit)
-            for tracked in self.open_jobs.values()
-            for unit in tracked.order
-            if self.is_own(tracked.claims.get(unit.key))
+            (open_job.job, unit)
+            for open_job in self.open_jobs.values()
+            for unit in open_job.order
+            if self.is_own(open_job.claims.get(unit.key))
         ]
 
     def version_for_waiting(self, model: str) -> int:
         """Return the oldest version that suits all waiting units of a model; -1."""
         versions = [
-            tracked.job.oldest_version
-            for tracked in self.open_jobs.values()
-            if tracked.job.model == model
-            and any(self.is_free(tracked.claims.get(u.key)) for u in tracked.order)
+            open_job.job.oldest_version
+            for open_job in self.open_jobs.values()
+            if open_job.job.model == model
+            and any(self.is_free(open_job.claims.get(u.key)) for u in open_job.order)
         ]
         return max(versions, default=-1)
 
@@ -275,34 +291,35 @@
     ) -> Candidate | None:
         """Return the unit to claim next; None where there is none.
 
-        A unit of a silent agent comes behind those of its step that are free, and
-        before those of newer steps: it has waited longest.
+        Within a step, units of silent agents come after the free ones. They come before
+        all units of newer steps, since they have waited longest.
 
         Parameters
         ----------
         models : collection of str
-            Models that this agent's engine is to serve now.
+            Models that this agent's engine is assigned now.
         versions : dict
             Loaded weight version by model.
-        room : Room
-            What the engine has room for.
-        slower : collection of str
+        capacity : FreeCapacity
+            Free capacity of the engine.
+        slower_for : collection of str
             Models that faster engines serve as well.
-        ask : bool
-            Whether units of silent agents, which are to be asked first, may be chosen.
+        may_probe : bool
+            Whether units of silent agents, which have to be probed first, may be
+            chosen.
         """
         now = self.clock.monotonic()
         found: list[Candidate] = []
-        for tracked in sorted(self.open_jobs.values(), key=lambda t: t.first_seen_at):
-            job = tracked.job
+        for open_job in sorted(self.open_jobs.values(), key=lambda j: j.first_seen_at):
+            job = open_job.job
             if job.model and versions.get(job.model, 0) < job.oldest_version:
                 continue
             own = not job.model or job.model in models
-            if not own and now - tracked.first_seen_at < STEAL_AFTER:
+            if not own and now - open_job.first_seen_at < STEAL_AFTER:
                 continue
             silent: list[Candidate] = []
             for candidate in self.candidates(
-                tracked, capacity, job.model in slower_for
+                open_job, capacity, job.model in slower_for
             ):
                 (silent if candidate.silent_claim else found).append(candidate)
                 if len(found) == CANDIDATES:
@@ -312,34 +329,35 @@
         return self.chance.choice(found) if found else None
 
     def candidates(
-        self, tracked: OpenJob, capacity: FreeCapacity, slower: bool
+        self, open_job: OpenJob, capacity: FreeCapacity, slower: bool
     ) -> Iterator[Candidate]:
-        """Yield the units of a job that may be claimed and for which there is room."""
-        for unit in tracked.short_order if slower else tracked.order:
-            held = tracked.claims.get(unit.key)
+        """Yield the claimable units of a job for which the engine has capacity."""
+        for unit in open_job.short_order if slower else open_job.order:
+            stored = open_job.claims.get(unit.key)
             if (
-                not self.is_free(held)
-                or (tracked.job.id, unit.key) in self.pending_claims
+                not self.is_free(stored)
+                or (open_job.job.id, unit.key) in self.pending_claims
             ):
                 continue
-            if slower and self.is_left_to_faster(tracked, unit):
+            if slower and self.is_left_to_faster(open_job, unit):
                 continue
             if capacity.fits(len(unit.items), unit.memory):
-                version = held.version if held else ABSENT
-                before = held is not None
-                silent = self.silent_claim(held)
-                yield Candidate(tracked.job, unit, version, before, silent)
-
-    def is_left_to_faster(self, tracked: OpenJob, unit: UnitSummary) -> bool:
-        """Tell whether a slower engine leaves a unit to the others of its model."""
-        waited = self.clock.monotonic() - self.free_since(tracked, unit)
-        return unit.key in tracked.long_units and waited < LONG_UNIT_WAIT
-
-    def free_since(self, tracked: OpenJob, unit: UnitSummary) -> float:
-        """Return since when a unit that is free has been so, in seconds."""
-        held = tracked.claims.get(unit.key)
-        if held is None:
-            return tracked.first_seen_at
+                version = stored.version if stored else ABSENT
+                taken_over = stored is not None
+                silent_claim = self.silent_claim(stored)
+                yield Candidate(open_job.job, unit, version, taken_over, silent_claim)
+
+    def is_left_to_faster(self, open_job: OpenJob, unit: UnitSummary) -> bool:
+        """Return whether a slower engine leaves a unit to the others of its model."""
+        waited = self.clock.monotonic() - self.free_since(open_job, unit)
+        return unit.key in open_job.long_units and waited < LONG_UNIT_WAIT
+
+    def free_since(self, open_job: OpenJob, unit: UnitSummary) -> float:
+        """Return when a free unit became free, by the monotonic clock, in seconds."""
+        stored = open_job.claims.get(unit.key)
+        if stored is None:
+            return open_job.first_seen_at
         return max(
-            tracked.first_seen_at, self.peers.free_since(held.claim, held.seen_at)
+            open_job.first_seen_at,
+            self.peers.free_since(stored.claim, stored.seen_at),
         )
