--- a/gypsumshift/jobs/heartbeatwriter.py
+++ b/gypsumshift/jobs/heartbeatwriter.py
@@ -1,9 +1,9 @@
-"""Heart: tells the other agents that one works, and what is known of its engine.
+"""Writes an agent's heartbeats, with the state of its engine, to the store.
 
-The decision answers heartbeats that the store carries out late: behind those of a new
-process, one of the process before it made its claims those of an agent that is gone,
-until its next heartbeat (0.4 to 5 s). So each is written only over the row that its
-writer knows.
+The store may carry a heartbeat out late. A late heartbeat of an agent's previous
+process, written over those of the new process, made the claims of the new one look like
+those of a dead agent until its next heartbeat (0.4 to 5 s). Each heartbeat is therefore
+written on the condition that the row still has the version that the writer knows.
 """
 
 import zlib
@@ -22,49 +22,50 @@
 
 __all__ = ["STORE_WRITES", "HeartbeatWriter", "heartbeat_part", "heartbeat_period"]
 
-# Seconds between heartbeats of an agent in a small fleet: three are missed before it
-# is asked whether it works.
+# Seconds between heartbeats of an agent in a small fleet: an agent is probed once three
+# are missing.
 HEARTBEAT_PERIOD = 0.4
-# Part of the store's writes that heartbeats of all agents may take together. Agents
-# that beat each 0.4 s whatever their number take all 3,200 writes a second of a large
-# store with 1,280 of them; so they beat less often beyond 128 (each 5 s with 1,600).
+# Share of the store's writes that the heartbeats of all agents may take together. With
+# a period of 0.4 s for every size of fleet, 1,280 agents would take all 3,200 writes a
+# second of a large store; so the period grows beyond 128 agents (to 5 s with 1,600).
 HEARTBEAT_SHARE = 0.1
-# Parts of the store over which heartbeats lie. A part takes 200 transactions a second,
-# and a tenth of the largest store's writes is 320.
+# Parts of the store over which heartbeats are distributed. A part takes 200
+# transactions a second, and a tenth of the largest store's writes is 320.
 HEARTBEAT_PARTS = 8
-# Writes a second that a store is taken to carry where nobody says, as the smallest.
+# Writes a second that the store is assumed to take where the settings name no figure:
+# that of the smallest store.
 STORE_WRITES = 800.0
-# Seconds between looks whether the table of agents was read.
+# Seconds between checks whether the table of agents was read.
 READ_PERIOD = 0.025
 
 log = logs.logger("agent")
 
 
 class HeartbeatWriter:
-    """Writes an agent's heartbeats.
+    """Writes the heartbeats of one agent.
 
     Parameters
     ----------
     session : str
-        Start of the agent.
-    station : Station
+        Session of the agent.
+    local_engine : LocalEngine
     weights : WeightManager
-        Told its fence, which is the number of the first heartbeat's transaction.
-    board : ClaimBoard
+        Receives its fence, the number of the first heartbeat's transaction.
+    tracker : ClaimTracker
     pace : Pace
     store : RowStore
     clock : Clock
-    places : callable
-        Returns the items that the engine could take now.
+    free_slots : callable
+        Returns the number of items that the engine could take now.
     store_writes : float
         Writes a second that the store takes from all processes.
 
     Attributes
     ----------
-    told : Heartbeat
-        The last one.
+    last : Heartbeat
+        The last heartbeat.
     version : int
-        Of the row, as far as the store's answers tell; 0 for none.
+        Version of its row, as far as the store's answers name it; 0 for none.
     """
 
     def __init__(
@@ -92,11 +93,11 @@
         self.version = ABSENT
 
     async def run(self) -> None:
-        """Beat until cancelled.
+        """Write heartbeats until cancelled.
 
-        What the process before this one had told is read first: told anew without it,
-        the engine's model was lost, and after a restart of all hosts half of the
-        engines changed theirs.
+        The last heartbeat of the agent's previous process is read first. Without it,
+        the first heartbeat would lose the engine's model: after a restart of all hosts,
+        half of the engines changed theirs.
         """
         while not self.tracker.peers.table_read:
             await self.clock.sleep(READ_PERIOD)
@@ -107,17 +108,18 @@
             await self.clock.sleep(heartbeat_period(agents, self.store_writes))
 
     async def write_next(self) -> None:
-        """Write a heartbeat over the row as it is known here."""
+        """Write a heartbeat if the row still has the last version known here."""
         self.last = self.next_heartbeat()
-        # The table of agents tells what a lost answer did not, without a further call.
-        told = self.tracker.peers.row_version(self.local_engine.identity.name)
-        expected = max(self.version, told)
+        # The table of agents contains a version whose answer was lost, without another
+        # call of the store.
+        table_version = self.tracker.peers.row_version(self.local_engine.identity.name)
+        expected = max(self.version, table_version)
         outcome = await self.commit_last(expected)
         if isinstance(outcome, Conflict):
             await self.resolve_conflict(expected)
 
     async def commit_last(self, expected: int | None) -> Written:
-        """Write what is to be told, over a version of the row; None for any."""
+        """Write the last heartbeat if its row has a version; None for any version."""
         name, value = self.local_engine.identity.name, to_row(self.last)
         write = Write(AGENTS, name, value, expected, part=heartbeat_part(name))
         outcome = await self.store.commit([write])
@@ -126,17 +128,17 @@
         return outcome
 
     async def resolve_conflict(self, refused: int) -> None:
-        """Go on from the row that is there, where a heartbeat was refused.
+        """Read the stored row after a conflict, and replace it where necessary.
 
-        One of this process tells that it works: an answer was lost, and no further
-        write is needed. Any other is written over at once, also one that cannot be
-        read: an agent that is not heard loses its units.
+        A row of this process already shows that it works: an answer was lost, and no
+        further write is needed. Any other row is replaced at once, also one that cannot
+        be read, since an agent without heartbeats loses its units.
 
         Parameters
         ----------
         refused : int
-            Version that the row does not have; the store may serve an old copy to
-            reads.
+            Version that the row does not have. The store may serve reads from an old
+            copy that still has it.
         """
         name = self.local_engine.identity.name
         row = await self.store.read(AGENTS, name, heartbeat_part(name))
@@ -148,17 +150,21 @@
             await self.commit_last(row.version)
 
     def note_written(self, version: int) -> None:
-        """Take that a heartbeat stands; the first one's transaction is the fence."""
+        """Record a stored heartbeat; the version of the first one is the fence."""
         self.version = version
         if not self.weights.fence:
             self.weights.fence = version
-            logs.event(log, "This agent may give orders.", fence=version)
+            logs.event(
+                log,
+                "First heartbeat stored; this agent may give its engine orders.",
+                fence=version,
+            )
 
     def next_heartbeat(self) -> Heartbeat:
-        """Return what there is to tell.
+        """Return the heartbeat to write next.
 
-        Pace and model are those of one start of the engine; while none is listed, they
-        stay as they were told.
+        Pace and model belong to one start of the engine; while none is listed, those of
+        the last heartbeat are kept.
         """
         server = self.local_engine.server
         start = server.start if server else self.last.start
@@ -176,26 +182,26 @@
         )
 
     def usual_pace(self) -> float:
-        """Return the engine's usual pace, as an earlier process knew it if need be."""
+        """Return the engine's usual pace, by default that of the last heartbeat."""
         server = self.local_engine.server
         return self.usual(
             self.last_for_start(server.start) if server else Heartbeat("")
         )
 
     def usual(self, known: Heartbeat) -> float:
-        """Return the usual pace as measured here, or else as it was told."""
+        """Return the measured usual pace, or else that of a heartbeat."""
         return self.pace.usual() or known.usual
 
     def last_for_start(self, start: ServerStart) -> Heartbeat:
-        """Return what was told last of a start of the engine; empty of another one."""
+        """Return the last heartbeat if it is about this start; else an empty one."""
         return self.last if start == self.last.start else Heartbeat("")
 
 
 def heartbeat_period(agents: int, store_writes: float) -> float:
-    """Return the seconds between two heartbeats of an agent, in a fleet of so many."""
+    """Return the seconds between two heartbeats of an agent, by size of the fleet."""
     return max(HEARTBEAT_PERIOD, agents / (HEARTBEAT_SHARE * store_writes))
 
 
 def heartbeat_part(agent: str) -> str:
-    """Return the part of the store in which the heartbeats of an agent lie."""
+    """Return the part of the store that holds the heartbeats of an agent."""
     return str(zlib.crc32(agent.encode()) % HEARTBEAT_PARTS)
--- a/gypsumshift/jobs/liveness.py
+++ b/gypsumshift/jobs/liveness.py
@@ -1,10 +1,10 @@
-"""Presence: an agent is asked whether it works before its work is taken over.
+"""Liveness probes: an agent is probed before its units are taken over.
 
-The decision answers heartbeats that come late: the store is slow, or the fleet is so
-large that each agent may write only now and then. A silence alone then says little, and
-a question to the agent itself, which takes 1 to 3 ms, says all. Flease (Kolbeck et al.,
-section 3) has the holders of leases agree among themselves too; here two holders do no
-harm, so one question is enough, and its rounds are not used.
+Heartbeats come late when the store is slow, or when the fleet is so large that each
+agent may write only rarely, so a missing heartbeat alone is weak evidence. A request to
+the agent itself takes 1 to 3 ms and settles the question. In Flease (Kolbeck et al.,
+section 3) the holders of leases also agree among themselves; here two holders at a time
+do no harm, so that one request is enough and the rounds of Flease are not used.
 """
 
 import abc
@@ -24,28 +24,28 @@
     "NoLivenessProbe",
 ]
 
-# Target by which an agent is asked.
+# Path of the HTTP request that probes an agent.
 LIVENESS_PATH = "/neighbour/alive"
-# Seconds for an answer: a hundred round trips between zones, and less than half of the
-# silence after which it is asked.
+# Seconds to wait for an answer: a hundred round trips between availability zones, and
+# less than half of the time without heartbeats after which an agent is probed.
 PROBE_TIMEOUT = 0.3
 
 log = logs.logger("presence")
 
 
 class LivenessProbe(abc.ABC):
-    """Tells whether agents that were not heard for a while still work."""
+    """Checks whether agents without a recent heartbeat still work."""
 
     @abc.abstractmethod
     async def is_alive(self, claim: Claim) -> bool:
-        """Tell whether the holder of a claim works, and can store what it makes."""
+        """Return whether the holder of a claim works and can store its results."""
 
 
 class NoLivenessProbe(LivenessProbe):
-    """Takes silent agents for gone: there is no way to ask them."""
+    """Treats agents without a recent heartbeat as dead, where none can be probed."""
 
     async def is_alive(self, claim):
-        """Tell that the holder does not work."""
+        """Return that the holder of a claim does not work."""
         return False
 
 
@@ -53,17 +53,17 @@
 
 
 class HttpLivenessProbe(LivenessProbe):
-    """Asks agents by the way on which processes help each other to the store.
+    """Sends and answers probes over the connections that relay store calls.
 
     Parameters
     ----------
     path : StorePath
-        Knows the addresses of the other processes.
+        Provides the addresses of the other processes.
 
     Attributes
     ----------
     session : str
-        Start of the agent of this process; empty while there is none.
+        Session of the agent in this process; empty while there is none.
     """
 
     def __init__(self, path: StorePath):
@@ -71,7 +71,7 @@
         self.session = ""
 
     async def is_alive(self, claim):
-        """Ask the holder of a claim."""
+        """Send a probe to the holder of a claim; return whether it works."""
         neighbour = self.path.neighbours.get(claim.agent)
         if neighbour is None:
             return False
@@ -79,15 +79,19 @@
             answer = await self.path.fetcher.fetch(
                 neighbour.address, "GET", LIVENESS_PATH, timeout=PROBE_TIMEOUT
             )
-            told = json.loads(answer.body) if answer.status == 200 else {}
-            session = told.get("session")
+            body = json.loads(answer.body) if answer.status == 200 else {}
+            session = body.get("session")
         except (FetchError, AttributeError, ValueError) as error:
-            log.debug("{} does not say that it works: {}", claim.agent, error)
+            log.debug(
+                "Liveness probe of {} failed; treating the agent as dead: {}",
+                claim.agent,
+                error,
+            )
             return False
         return session == claim.session
 
     async def serve(self, request: Request) -> Response:
-        """Answer an agent that asks; one that cannot store results says so."""
+        """Answer a probe, with status 503 if this agent cannot store results."""
         if not self.session or not self.path.works:
             return Response(503)
         return json_response(200, {"session": self.session})
--- a/gypsumshift/jobs/peers.py
+++ b/gypsumshift/jobs/peers.py
@@ -1,9 +1,10 @@
-"""Peers: the other agents, as their heartbeats tell of them.
+"""Liveness and engine state of the other agents, from their heartbeats.
 
-The decision answers hosts that are lost in the midst of a step: once nothing was heard
-of one for a while, who would take its units over asks it (`presence.py`), and takes
-them where it does not answer. Nobody is judged by a silence in which nothing could be
-heard: while the store is away, no heartbeat comes from anyone.
+If a host is lost in the middle of a step, another agent that wants to take its units
+over first sends it a liveness probe (`liveness.py`), once it has sent no heartbeat for
+`HEARTBEAT_TIMEOUT`, and takes the units over if the probe fails. Time in which no
+heartbeat could be received does not count: while the store is unavailable, none
+arrives from any agent.
 """
 
 import enum
@@ -19,35 +20,35 @@
 from gypsumshift.platforms import ABSENT, Row
 from gypsumshift.serving.directory import ServerStart
 
-__all__ = ["HEARTBEAT_TIMEOUT", "Peers", "HolderState"]
+__all__ = ["HEARTBEAT_TIMEOUT", "HolderState", "Peers"]
 
-# Seconds without a heartbeat after which an agent is asked whether it works. Of a host
-# that is lost with the longest items of a step, each second counts: with 2.6 s they
-# ended 10.9 s after their step came (logs of a play). Three heartbeats of a small
-# fleet; in a large one, agents beat less often and are asked more.
+# Seconds without a heartbeat after which an agent is probed. When a host is lost with
+# the longest items of a step, each second counts: with 2.6 s these items ended 10.9 s
+# after their step had arrived. The value is three heartbeats of a small fleet; agents
+# of a large fleet send fewer heartbeats and are probed more often.
 HEARTBEAT_TIMEOUT = 1.2
-# Seconds since the table of agents was last told within which a silence counts. Less
-# than `SILENCE` by more than a heartbeat, so that nobody is missed between the last
-# heartbeat and an outage: agents took each other's units over in the moment of the
-# store's return (12 units in three plays with 5 engines), and what had been generated
-# meanwhile was lost.
+# Age of the table of agents, in seconds since its last update, up to which a missing
+# heartbeat counts. It is less than `HEARTBEAT_TIMEOUT` by more than a heartbeat
+# period, so that no agent times out between its last heartbeat and an outage of the
+# store: agents took each other's units over when the store returned (12 units in three
+# runs with 5 engines), and what had been generated meanwhile was lost.
 MAX_TABLE_AGE = 0.7
 
 
 @attrs.define
 class PeerState:
-    """Heartbeat of one agent as seen here.
+    """Last heartbeat of one agent, with the time of its receipt.
 
     Attributes
     ----------
     session : str
-    at : float
-        When it changed last, by the monotonic clock, in seconds.
-    beat : Heartbeat
+    seen_at : float
+        When it last changed, by the monotonic clock, in seconds.
+    heartbeat : Heartbeat
     version : int
-        Of its row; 0 where none was read.
-    since : float
-        When its session was heard first, by the monotonic clock, in seconds.
+        Version of its row; 0 where none was read.
+    first_seen_at : float
+        When its session was first seen, by the monotonic clock, in seconds.
     """
 
     session: str
@@ -55,17 +56,17 @@
     heartbeat: Heartbeat = Heartbeat("")
     version: int = ABSENT
     first_seen_at: float = attrs.field(
-        default=attrs.Factory(lambda p: p.seen_at, takes_self=True)
+        default=attrs.Factory(lambda state: state.seen_at, takes_self=True)
     )
 
     @property
     def pace(self) -> float:
-        """Seconds between two events at its engine now; 0 for unknown."""
+        """Current seconds between two events at its engine; 0 for unknown."""
         return self.heartbeat.pace
 
 
 class HolderState(enum.Enum):
-    """What is believed of the agent that holds a claim."""
+    """Liveness of the agent that holds a claim, as far as this agent can tell."""
 
     WORKS = "works"
     SILENT = "silent"
@@ -73,20 +74,24 @@
 
 
 class Peers:
-    """What is known of the agents.
+    """Tracks the heartbeats of all agents.
 
     Parameters
     ----------
     session : str
-        Start of this agent.
+        Session of this agent.
     clock : Clock
-    listened_at : callable or None
-        Returns when the table of agents was last told, by the monotonic clock, in
-        seconds; by default it is told all the time.
+    table_current_at : callable or None
+        Returns when the table of agents was last current, by the monotonic clock, in
+        seconds; by default it is always current.
 
     Attributes
     ----------
-    heard : bool
+    states : dict
+        `PeerState` by agent name.
+    recovered_at : float
+        When the store last recovered from an outage, by the monotonic clock.
+    table_read : bool
         Whether the table of agents was read.
     """
 
@@ -104,10 +109,11 @@
         self.table_read = False
 
     def apply_rows(self, rows: list[Row]) -> None:
-        """Take rows of the table of agents.
+        """Apply rows of the table of agents.
 
-        Those that are known are left out: in a table that is read anew, the last
-        heartbeat of a lost host would be a sign of life for another 1.2 s.
+        Rows that are not newer than the known ones are ignored: when the table is read
+        again as a whole, the last heartbeat of a lost host would count as a sign of
+        life for another 1.2 s.
         """
         self.table_read = True
         for row in rows:
@@ -115,18 +121,20 @@
                 self.apply_newer_row(row)
 
     def apply_newer_row(self, row: Row) -> None:
-        """Take a row that was written after the one known; without a value, its end."""
+        """Apply a row newer than the known one; one without a value removes it."""
         removed = row.value is None
-        beat = Heartbeat("") if removed else parse_row(row, Heartbeat)
-        if beat is None:
+        heartbeat = Heartbeat("") if removed else parse_row(row, Heartbeat)
+        if heartbeat is None:
             return
         now, known = self.clock.monotonic(), self.states.get(row.key)
-        same = known is not None and known.session == beat.session
-        since = known.first_seen_at if same else now
-        self.states[row.key] = PeerState(beat.session, now, beat, row.version, since)
+        same = known is not None and known.session == heartbeat.session
+        first_seen_at = known.first_seen_at if same else now
+        self.states[row.key] = PeerState(
+            heartbeat.session, now, heartbeat, row.version, first_seen_at
+        )
 
     def note_store_recovered(self) -> None:
-        """Take that nothing could be heard until now."""
+        """Record that no heartbeat could be received until now."""
         self.recovered_at = self.clock.monotonic()
 
     def holder_state(
@@ -134,100 +142,104 @@
     ) -> HolderState:
         """Return whether the agent that holds a claim works on it, as far as is known.
 
-        A claim is itself a sign of life, and heartbeats that could not be heard
-        while the store was away say nothing: without these two, agents that were
-        cut off together took each other's units over at once when they returned.
+        The claim itself counts as a sign of life, and heartbeats that are missing
+        because the store was unavailable do not count. Without these two rules, agents
+        that had been cut off together took each other's units over at once when they
+        returned.
 
         Parameters
         ----------
         claim : Claim
         seen_at : float
-            When it was told here, by the monotonic clock, in seconds.
+            When the claim was received, by the monotonic clock, in seconds.
         version : int
-            Of its row. Where claim and heartbeat tell of two processes, the row that
-            was written last tells of the one that lives, whichever was told last here.
+            Version of the claim's row. Where claim and heartbeat name different
+            processes, the row that was written last names the live one, in whichever
+            order the two rows were received.
         """
         if claim.session == self.session:
             return HolderState.WORKS
-        heard, pulse = seen_at, self.states.get(claim.agent)
-        if pulse is not None and pulse.session == claim.session:
-            heard = max(heard, pulse.seen_at)
-        elif pulse is not None and pulse.version > version:
+        alive_at, state = seen_at, self.states.get(claim.agent)
+        if state is not None and state.session == claim.session:
+            alive_at = max(alive_at, state.seen_at)
+        elif state is not None and state.version > version:
             return HolderState.GONE
-        audible = self.is_within_timeout(max(heard, self.recovered_at))
-        return HolderState.WORKS if audible else HolderState.SILENT
+        works = self.is_within_timeout(max(alive_at, self.recovered_at))
+        return HolderState.WORKS if works else HolderState.SILENT
 
     def note_alive(self, claim: Claim) -> None:
-        """Take that the holder of a claim said itself that it works."""
+        """Record that the holder of a claim answered a liveness probe."""
         now = self.clock.monotonic()
-        pulse = self.states.setdefault(claim.agent, PeerState(claim.session, now))
-        if pulse.session == claim.session:
-            pulse.seen_at = now
+        state = self.states.setdefault(claim.agent, PeerState(claim.session, now))
+        if state.session == claim.session:
+            state.seen_at = now
 
     def is_within_timeout(self, at: float) -> bool:
-        """Tell whether a sign of life is younger than the silence that counts.
+        """Return whether a sign of life is younger than `HEARTBEAT_TIMEOUT`.
 
-        Time in which the table of agents was not told is left out at its end.
+        If the table of agents is out of date, its age is left out of the time.
         """
-        now, listened = self.clock.monotonic(), self.table_current_at()
-        until = now if now - listened < MAX_TABLE_AGE else listened
+        now, current_at = self.clock.monotonic(), self.table_current_at()
+        until = now if now - current_at < MAX_TABLE_AGE else current_at
         return until - at < HEARTBEAT_TIMEOUT
 
     def is_recent(self, at: float) -> bool:
-        """Tell whether what an agent told is young enough to hold now."""
+        """Return whether a heartbeat of this time is young enough to be used."""
         return self.clock.monotonic() - at < HEARTBEAT_TIMEOUT
 
     def free_since(self, claim: Claim, seen_at: float) -> float:
-        """Return when a claim became free whose holder is not alive, in seconds."""
-        pulse = self.states.get(claim.agent)
-        if pulse is not None and pulse.session != claim.session:
-            # Not its last heartbeat: one comes each 0.4 s, and long items that are left
-            # to faster engines for a second (`LEAVE_LONG`) would be left for good.
-            return max(seen_at, pulse.first_seen_at)
-        told = max(seen_at, pulse.seen_at if pulse else 0.0)
-        return max(told, self.recovered_at) + HEARTBEAT_TIMEOUT if claim.agent else told
+        """Return when a claim of an agent that is not alive became free, in seconds."""
+        state = self.states.get(claim.agent)
+        if state is not None and state.session != claim.session:
+            # Not the last heartbeat of the new session: one arrives each 0.4 s, and
+            # long items, which are left to faster engines for a second
+            # (`LONG_UNIT_WAIT`), would be left to them forever.
+            return max(seen_at, state.first_seen_at)
+        seen = max(seen_at, state.seen_at if state else 0.0)
+        return max(seen, self.recovered_at) + HEARTBEAT_TIMEOUT if claim.agent else seen
 
     def paces(self) -> list[float]:
         """Return the known paces of the other agents' engines."""
         return [
-            pulse.pace
-            for pulse in self.states.values()
-            if pulse.session != self.session
-            and pulse.pace
-            and self.is_recent(pulse.seen_at)
+            state.pace
+            for state in self.states.values()
+            if state.session != self.session
+            and state.pace
+            and self.is_recent(state.seen_at)
         ]
 
     def last_heartbeat(self, agent: str) -> Heartbeat:
-        """Return what an agent told last; an empty heartbeat where it told nothing."""
-        pulse = self.states.get(agent)
-        return pulse.heartbeat if pulse else Heartbeat("")
+        """Return the last heartbeat of an agent; an empty one where there is none."""
+        state = self.states.get(agent)
+        return state.heartbeat if state else Heartbeat("")
 
     def row_version(self, agent: str) -> int:
-        """Return the version of the row that an agent told last; 0 for none."""
-        pulse = self.states.get(agent)
-        return pulse.version if pulse else ABSENT
+        """Return the version of an agent's last heartbeat row; 0 for none."""
+        state = self.states.get(agent)
+        return state.version if state else ABSENT
 
     def engine_views(self) -> dict[ServerStart, EngineView]:
-        """Return what agents told last of their engines, by the engine's start."""
+        """Return the engine state in the last heartbeats, by start of the engine."""
         beats = [
-            p.heartbeat for p in sorted(self.states.values(), key=lambda p: p.seen_at)
+            state.heartbeat
+            for state in sorted(self.states.values(), key=lambda state: state.seen_at)
         ]
         return {b.start: EngineView(b.engine, b.home, b.usual) for b in beats}
 
     def faster_engines(self, usual: float, engines: Collection[str]) -> list[Heartbeat]:
-        """Return what agents tell whose engines are built faster than one.
+        """Return the recent heartbeats of agents whose engines are faster than one.
 
         Parameters
         ----------
         usual : float
             Usual pace of that one; see `Pace.usual`.
         engines : collection of str
-            Ids of the engines among which to look.
+            Ids of the engines to consider.
         """
         return [
-            pulse.heartbeat
-            for pulse in self.states.values()
-            if pulse.heartbeat.engine in engines
-            and self.is_recent(pulse.seen_at)
-            and is_slower(usual, pulse.heartbeat.usual)
+            state.heartbeat
+            for state in self.states.values()
+            if state.heartbeat.engine in engines
+            and self.is_recent(state.seen_at)
+            and is_slower(usual, state.heartbeat.usual)
         ]
