--- a/gypsumshift/jobs/localengine.py
+++ b/gypsumshift/jobs/localengine.py
@@ -1,4 +1,4 @@
-"""Station: the model engine beside an agent, as it is listed and reports."""
+"""State of the model engine that an agent manages: directory entry and last report."""
 
 import attrs
 
@@ -10,7 +10,7 @@
 
 __all__ = ["AgentIdentity", "LocalEngine"]
 
-# Seconds without a report after which the engine's items go to other agents.
+# Seconds without a report after which the engine's items are handed to other agents.
 REPORT_SILENCE = 0.9
 
 log = logs.logger("station")
@@ -18,16 +18,16 @@
 
 @attrs.frozen
 class AgentIdentity:
-    """Where an agent stands.
+    """Name of an agent, and service and address of the engine that it manages.
 
     Attributes
     ----------
     name : str
-        Of its process, the holder of its orders.
+        Name of the agent's process, under which it holds claims.
     service : str
-        Of the engine.
+        Service of the engine.
     address : (str, int)
-        Of the engine.
+        Address of the engine.
     """
 
     name: str
@@ -36,11 +36,11 @@
 
 
 class LocalEngine:
-    """Knows which start of the engine is there, and whether it serves.
+    """Tracks which start of the engine is running, and whether it serves.
 
     Parameters
     ----------
-    home : Home
+    identity : AgentIdentity
     directory : Directory
     engine : EngineClient
     clock : Clock
@@ -48,11 +48,13 @@
     Attributes
     ----------
     report : EngineReport or None
-        The last one of the start that is listed.
+        Last report of the start that is listed.
+    reported_at : float
+        When that report was received, by the monotonic clock, in seconds.
     reported_start : ServerStart or None
-        Start of the engine that gave it.
-    replaced : set of ServerStart
-        Starts of the engine that are not at its address any more.
+        Start of the engine that sent it.
+    replaced_starts : set of ServerStart
+        Starts of the engine that no longer run at its address.
     """
 
     def __init__(
@@ -73,9 +75,9 @@
 
     @property
     def server(self) -> BackendServer | None:
-        """The engine as listed now; None while it is not or leaves."""
-        # The newest entry last: an engine that starts anew has a second entry until
-        # its first lapses.
+        """Directory entry of the engine; None while it is not listed or not ready."""
+        # Newest entry first: a restarted engine has a second entry until its first
+        # one expires.
         for server in reversed(self.directory.servers.values()):
             here = server.address == self.identity.address
             own = here and server.service == self.identity.service
@@ -85,13 +87,13 @@
 
     @property
     def healthy(self) -> bool:
-        """Whether the engine is listed and reports."""
+        """Whether the engine is listed and has reported recently."""
         silent = self.clock.monotonic() - self.reported_at
         return self.server is not None and silent < REPORT_SILENCE
 
     @property
     def limits(self) -> EngineLimits | None:
-        """What the engine can hold, by the configuration."""
+        """Limits of the engine, from the configuration."""
         service = self.directory.routes.services.get(self.identity.service)
         return service.engine if service else None
 
@@ -106,33 +108,37 @@
 
     @property
     def service_engines(self) -> list[BackendServer]:
-        """Ready engines of the service, this one among them."""
+        """Ready engines of the service, this one included."""
         return self.directory.service(self.identity.service)
 
     def is_current(self, report: EngineReport, server: BackendServer | None) -> bool:
-        """Tell whether a report is of the start that is listed now."""
+        """Return whether a report comes from the start that is listed now."""
         if server is None:
             return False
         return not (report.born and server.born) or report.born == server.born
 
     def reset_report(self) -> None:
-        """Forget what the start of the engine told that is no more.
+        """Discard the report of a start of the engine that has ended.
 
-        The new one has as long for its first report as any: its runs go on there at
-        once, and are given back only where it keeps silent.
+        The new start has the usual time for its first report: the engine's runs
+        continue on it at once, and are given back only if it does not report.
         """
         self.report = None
         self.reported_at = self.clock.monotonic()
 
     async def fetch_report(self) -> EngineReport | None:
-        """Ask the engine for a report; None where it gives none."""
+        """Request a report from the engine; None where it sends none."""
         server = self.server
         report = await self.engine.fetch_report(server) if server else None
         if report is None or not self.is_current(report, self.server):
             return None
         self.reported_start = self.server.start
         if not self.healthy:
-            logs.event(log, "The engine reports.", versions=report.versions)
+            logs.event(
+                log,
+                "The engine sends reports.",
+                versions=report.versions,
+            )
         self.report = report
         self.reported_at = self.clock.monotonic()
         return report
--- a/gypsumshift/jobs/pace.py
+++ b/gypsumshift/jobs/pace.py
@@ -1,8 +1,9 @@
-"""Pace: whether an engine generates much more slowly than its peers.
+"""Generation pace of a model engine, and comparison with the paces of its peers.
 
-The decision answers stragglers: a slow engine holds a few items of most groups, and a
-step is whole only when nine of ten groups are. Moving an item costs reading its prompt
-again, some 10 ms; leaving it on an engine that is three times as slow costs seconds.
+A step of a batch job is complete only when nine of ten groups are, and a slow engine
+holds a few items of most groups, so it delays the whole step. Moving an item to
+another engine costs reading its prompt again, some 10 ms; leaving it on an engine that
+is three times as slow costs seconds.
 """
 
 import collections
@@ -11,29 +12,31 @@
 
 __all__ = ["Pace", "is_slow", "is_slower"]
 
-# Seconds of gaps between events that count: about the length of an item.
+# Seconds for which a gap between two events counts: about the duration of an item.
 WINDOW = 1.5
-# Gaps that are needed for a figure: below, a single pause would decide.
+# Gaps required for a median: with fewer, a single pause would determine it.
 MIN_GAPS = 10
-# Seconds of them that are needed. An engine that begins a dozen items with new weights
-# reads all their prompts anew, and gaps are two to three times as long for 0.2 s: two
-# healthy engines of five were taken for slow and handed 12 items over.
+# Seconds that the gaps have to span. An engine that starts a dozen items with new
+# weights reads all their prompts anew, and gaps are two to three times as long for
+# 0.2 s: two healthy engines of five were classified as slow and handed 12 items over.
 MIN_SPAN = 0.5
-# Full engines generate half as fast again as idle ones; slow ones were seen to take
-# 2.5 to 4 times as long.
+# Ratio to the peers' median pace above which an engine is slow. Full engines take half
+# as long again per event as idle ones; slow engines were seen to take 2.5 to 4 times
+# as long.
 SLOW_FACTOR = 2.0
-# Seconds of which an engine's best pace counts: it is told from how full the engine is,
-# and from weights that it loads.
+# Seconds over which the best pace of an engine is taken, so that neither the engine's
+# load nor the loading of weights affects it.
 USUAL_WINDOW = 10.0
-# A full engine generates a tenth slower than an empty one; engines that are built
-# slower were seen to take 1.28 times as long.
+# Ratio of usual paces above which an engine is slower than a peer. A full engine
+# generates a tenth slower than an empty one; engines on slower hardware were seen to
+# take 1.28 times as long.
 SLOWER_FACTOR = 1.17
-# Peers that are needed to tell what is usual.
+# Peers required to determine the usual pace.
 MIN_PEERS = 2
 
 
 class Pace:
-    """Median time between two events of one stream, over an engine's streams.
+    """Median time between two events of one stream, over all streams of an engine.
 
     Parameters
     ----------
@@ -47,21 +50,24 @@
         self.best = 0.0
 
     def record_gap(self, gap: float) -> None:
-        """Take the seconds between two events of one stream."""
+        """Record the seconds between two events of one stream."""
         self.gaps.append((self.clock.monotonic(), gap))
 
     def clear_gaps(self) -> None:
-        """Forget all gaps: what made them has ended."""
+        """Discard all gaps, once the streams that they come from have ended."""
         self.gaps.clear()
 
     def reset(self) -> None:
-        """Forget everything: another engine is there."""
+        """Discard all measurements, once another engine has replaced this one."""
         self.gaps.clear()
         self.medians.clear()
         self.best = 0.0
 
     def usual(self) -> float:
-        """Return the best median of its last busy seconds; 0 where none is known."""
+        """Return the best median within `USUAL_WINDOW`; 0 where none is known.
+
+        The last known value is kept while the engine is idle.
+        """
         now, value = self.clock.monotonic(), self.current()
         if value:
             self.medians.append((now, value))
@@ -72,7 +78,7 @@
         return self.best
 
     def current(self) -> float:
-        """Return the median gap in seconds; 0 where too few are known."""
+        """Return the median gap in seconds; 0 where too few gaps are known."""
         horizon = self.clock.monotonic() - WINDOW
         while self.gaps and self.gaps[0][0] < horizon:
             self.gaps.popleft()
@@ -84,7 +90,7 @@
 
 
 def is_slow(own: float, peers: list[float]) -> bool:
-    """Tell whether a pace is far behind the median of the peers' paces.
+    """Return whether a pace is far behind the median of the peers' paces.
 
     Parameters
     ----------
@@ -100,5 +106,5 @@
 
 
 def is_slower(own: float, peer: float) -> bool:
-    """Tell whether an engine is built slower than a peer, by their usual paces."""
+    """Return whether an engine is slower than a peer by design, by usual paces."""
     return bool(own and peer) and own > SLOWER_FACTOR * peer
