--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""Agents over one store: what they run, hand over, and never do twice."""
+"""Agents over one store: running items, handing units over, storing results once."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 def scenario(test):
-    """Run a test on a world of its own."""
+    """Run an asynchronous test in a new `World`, for 20 s at most."""
 
     def run():
         async def play():
@@ -31,7 +31,7 @@
 
 
 @scenario
-async def test_a_step_is_generated_scored_and_stored_once(world):
+async def test_two_agents_generate_score_and_store_each_item_of_a_step_once(world):
     world.agent("a")
     world.agent("b")
     await world.submit(groups=6, size=4)
@@ -44,7 +44,7 @@
 
 
 @scenario
-async def test_a_broken_stream_goes_on_behind_its_last_event(world):
+async def test_a_broken_stream_resumes_after_its_last_event(world):
     engine = FakeEngine()
     engine.break_at = {"job-0-0": 2}
     world.agent("a", engine)
@@ -55,7 +55,7 @@
 
 
 async def busy_agent(world):
-    """Start an agent with two unfinished items; return it and its engine."""
+    """Start an agent with two running items; return it and its engine."""
     engine = FakeEngine()
     engine.hold.clear()
     agent = world.agent("a", engine)
@@ -65,20 +65,20 @@
 
 
 @scenario
-async def test_a_unit_claimed_twice_runs_once_and_stops_with_its_job(world):
+async def test_a_unit_started_twice_runs_once_and_stops_when_its_job_ends(world):
     agent, engine = await busy_agent(world)
     ((job_id, key), unit) = next(iter(agent.runner.units.items()))
     again = Candidate(unit.job, unit.job.units[0], unit.version, True)
     agent.runner.start_unit(again, unit.version)
     await world.store.commit([Write(JOBS, END_KEY, {"ended": True}, part=job_id)])
     await until(lambda: not engine.running)
-    assert len(engine.started) == 2, "the second start ran the items again"
+    assert len(engine.started) == 2, "the second start must not run the items again"
     agent.runner.start_unit(again, unit.version)
-    assert not agent.runner.units, "a unit of an ended job was started"
+    assert not agent.runner.units, "no unit of an ended job may start"
 
 
 @scenario
-async def test_an_engine_that_falls_silent_loses_its_units_with_what_they_have(world):
+async def test_units_of_an_engine_that_stops_serving_resume_at_another_agent(world):
     engine = FakeEngine()
     engine.hold.clear()
     world.agent("a", engine)
@@ -93,7 +93,7 @@
 
 
 @scenario
-async def test_a_unit_that_another_agent_took_over_is_let_go(world):
+async def test_an_agent_stops_a_unit_that_another_agent_took_over(world):
     agent, engine = await busy_agent(world)
     row = (await world.store.scan("claims", "", "job"))[0]
     value = {"agent": "b", "session": "other"}
@@ -103,7 +103,7 @@
 
 
 @scenario
-async def test_a_leaving_agent_gives_its_units_back(world):
+async def test_a_draining_agent_gives_its_units_back(world):
     agent, engine = await busy_agent(world)
     await agent.drain()
     assert not engine.running
@@ -112,7 +112,7 @@
 
 
 @scenario
-async def test_a_reward_call_that_always_fails_ends_the_item(world):
+async def test_an_item_is_given_up_after_all_attempts_of_its_reward_call_failed(world):
     agent = world.agent("a")
     agent.runner.forwarder.statuses = [500] * 4
     await world.submit(groups=1, size=1)
@@ -122,7 +122,7 @@
 
 
 @scenario
-async def test_a_result_is_never_replaced(world):
+async def test_a_stored_result_is_not_replaced_by_a_later_run(world):
     await world.submit(groups=1, size=1)
     stored = {"item": "job-0-0", "state": "whole", "text": "first"}
     await world.store.commit([Write(RESULTS, "job-0-0", stored, 0, part="job")])
@@ -143,7 +143,7 @@
 
 
 @scenario
-async def test_an_engine_that_started_anew_is_used_under_its_new_id(world):
+async def test_a_restarted_engine_is_called_under_its_new_id(world):
     engine = FakeEngine()
     engine.replaced = {"e-a"}
     agent = world.agent("a", engine)
@@ -152,11 +152,11 @@
     agent.local_engine.directory.set_server(server("e-new"))
     assert len(await world.results()) == 2
     refused = [s for s in engine.servers if s == "e-a"]
-    assert len(refused) <= 2, "it kept asking for the engine that is gone"
+    assert len(refused) <= 2, "the agent must stop calling the old start of the engine"
 
 
 @scenario
-async def test_an_engine_that_loads_takes_no_new_work_until_it_has_loaded(world):
+async def test_a_loading_engine_gets_no_new_work_until_it_has_loaded(world):
     engine = FakeEngine()
     engine.busy = True
     agent = world.agent("a", engine)
@@ -172,7 +172,7 @@
 
 
 @scenario
-async def test_an_engine_that_is_about_to_load_takes_no_new_work(world):
+async def test_an_engine_that_is_about_to_load_gets_no_new_work(world):
     agent = world.agent("a", FakeEngine())
     await until(lambda: agent.local_engine.versions)
     assert agent.weights.ready_versions() == {MODEL: 1}
@@ -183,8 +183,8 @@
 
 
 @scenario
-async def test_items_that_wait_for_scores_take_no_place_of_the_engine(world):
-    """Four places: with scores in them only four of six items began."""
+async def test_items_that_wait_for_scores_occupy_no_engine_slot(world):
+    """With four slots, only four of six items started while scores occupied them."""
     engine = FakeEngine()
     agent = world.agent("a", engine)
     agent.runner.forwarder.hold.clear()
@@ -197,14 +197,14 @@
 
 
 @scenario
-async def test_a_slow_application_stops_new_work_in_the_end(world):
+async def test_claiming_stops_at_two_rounds_of_items_that_wait_for_scores(world):
     engine = FakeEngine()
     agent = world.agent("a", engine)
     agent.runner.forwarder.hold.clear()
     await world.submit(groups=7)
     await until(lambda: agent.runner.scoring_count == 8)
     await agent.claim_units()
-    assert len(engine.started) == 8, "two rounds of four places wait for scores"
+    assert len(engine.started) == 8, "two rounds of four slots wait for scores"
     agent.runner.forwarder.hold.set()
     await world.results()
 
@@ -214,7 +214,7 @@
 
 
 async def saved_run(world):
-    """Save an unfinished item; return agent, engine, and the events saved."""
+    """Save an unfinished item; return agent, engine and the number of saved events."""
     engine = FakeEngine(length=30)
     engine.hold.clear()
     agent = world.agent("a", engine)
@@ -226,7 +226,7 @@
 
 
 @scenario
-async def test_an_agent_that_died_leaves_what_it_had_saved(world):
+async def test_the_successor_of_a_dead_agent_resumes_from_saved_events(world):
     _, _, count = await saved_run(world)
     assert count >= 20
     await world.close()
@@ -238,7 +238,7 @@
 
 
 @scenario
-async def test_what_was_saved_goes_with_the_result(world):
+async def test_saved_events_are_deleted_once_the_result_is_stored(world):
     _, engine, _ = await saved_run(world)
     engine.hold.set()
     await world.results()
@@ -246,7 +246,7 @@
 
 
 @scenario
-async def test_a_text_that_no_row_can_hold_is_given_back_without_it(world):
+async def test_a_run_too_large_for_a_row_has_no_partial(world):
     engine = FakeEngine(length=3)
     engine.hold.clear()
     agent = world.agent("a", engine)
@@ -258,7 +258,7 @@
 
 
 @scenario
-async def test_a_unit_that_meets_an_error_of_the_program_is_given_back(world):
+async def test_a_unit_that_raises_an_unexpected_error_is_given_back(world):
     agent = world.agent("a")
     forward = agent.runner.forwarder.forward
     agent.runner.forwarder.forward = None
@@ -270,8 +270,11 @@
 
 
 @scenario
-async def test_a_restarted_agent_keeps_to_what_its_engine_served(world):
-    """Told anew without it, half of the engines changed models after a restart."""
+async def test_a_restarted_agent_keeps_its_engines_model_and_usual_pace(world):
+    """The first heartbeat of a restarted agent repeats model and usual pace.
+
+    Without them, half of the engines changed models after a restart.
+    """
     value = {"session": "old", "engine": "e-a", "home": MODEL, "usual": 0.05}
     await world.store.commit([Write(AGENTS, "a", value)])
     agent = world.agent("a")
@@ -282,11 +285,13 @@
     assert told == {"engine": "e-a", "home": MODEL, "usual": 0.05}
     agent.local_engine.directory.set_server(server("e-new"))
     await until(lambda: agent.heartbeat_writer.last.engine == "e-new")
-    assert agent.heartbeat_writer.last.usual == 0, "another engine is of another pace"
+    assert agent.heartbeat_writer.last.usual == 0, (
+        "the usual pace of another start does not apply"
+    )
 
 
 @scenario
-async def test_pace_and_model_of_an_engine_end_with_its_start(world):
+async def test_usual_pace_and_model_are_not_kept_across_engine_restarts(world):
     agent = world.agent("a")
     directory = agent.local_engine.directory
     value = {"session": "old", "engine": "e-a", "born": 1, "home": "x", "usual": 0.05}
--- a/tests/test_claimtracker.py
+++ b/tests/test_claimtracker.py
@@ -1,4 +1,4 @@
-"""Which unit an agent claims, and when a claim of another is free."""
+"""Choice of the unit that an agent claims, and release of other agents' claims."""
 
 from gypsumshift.jobs import split
 from gypsumshift.jobs.capacity import FreeCapacity
@@ -12,275 +12,297 @@
 from tests.jobs_world import MODEL, claim_row, items, job, job_row, make_tracker
 
 
-def pulse(agent, session, beat, version):
+def heartbeat_row(agent, session, beat, version):
     return Row(AGENTS, agent, version, {"session": session, "beat": beat})
 
 
-def make_open_job(groups=2):
+def make_tracker_with_job(groups=2):
     clock = ManualClock()
-    own = make_tracker(clock=clock)
+    tracker = make_tracker(clock=clock)
     value = job(split(items(groups)))
-    own.apply_job_rows([job_row(value)])
-    return own, clock, value
+    tracker.apply_job_rows([job_row(value)])
+    return tracker, clock, value
 
 
-def choose(own, room=8, version=1, slower=()):
-    return own.choose_candidate([MODEL], {MODEL: version}, FreeCapacity(room), slower)
+def choose(tracker, room=8, version=1, slower=()):
+    return tracker.choose_candidate(
+        [MODEL], {MODEL: version}, FreeCapacity(room), slower
+    )
 
 
-def test_claims_of_a_living_agent_stay():
-    own, clock, _ = make_open_job(groups=1)
-    own.peers.apply_rows([pulse("other", "s", 1, 2)])
-    own.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
-    assert choose(own) is None
+def test_a_claim_stays_with_its_agent_until_the_heartbeat_timeout():
+    tracker, clock, _ = make_tracker_with_job(groups=1)
+    tracker.peers.apply_rows([heartbeat_row("other", "s", 1, 2)])
+    tracker.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
+    assert choose(tracker) is None
     clock.advance(HEARTBEAT_TIMEOUT + 0.1)
-    assert choose(own).taken_over
+    assert choose(tracker).taken_over
 
 
-def test_claims_of_a_restarted_agent_are_free_at_once():
-    own, _, _ = make_open_job(groups=1)
-    own.peers.apply_rows([pulse("other", "s", 1, 2)])
-    own.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
-    own.peers.apply_rows([pulse("other", "s2", 1, 4)])
-    assert choose(own) is not None
+def test_claims_of_a_restarted_agents_old_session_are_free_at_once():
+    tracker, _, _ = make_tracker_with_job(groups=1)
+    tracker.peers.apply_rows([heartbeat_row("other", "s", 1, 2)])
+    tracker.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
+    tracker.peers.apply_rows([heartbeat_row("other", "s2", 1, 4)])
+    assert choose(tracker) is not None
 
 
-def test_a_fresh_claim_is_a_sign_of_life_before_the_heartbeat_comes():
-    own, clock, _ = make_open_job(groups=1)
-    own.peers.apply_rows([pulse("other", "s", 1, 2)])
+def test_a_new_claim_counts_as_a_sign_of_life_of_its_agent():
+    tracker, clock, _ = make_tracker_with_job(groups=1)
+    tracker.peers.apply_rows([heartbeat_row("other", "s", 1, 2)])
     clock.advance(10 * HEARTBEAT_TIMEOUT)
-    own.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
-    assert choose(own) is None
+    tracker.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
+    assert choose(tracker) is None
 
 
-def test_a_claim_outlives_an_older_heartbeat_that_is_told_after_it():
-    """Items of a healthy agent ran at another one as well, and their step was late.
+def test_a_claim_stays_valid_when_an_older_heartbeat_arrives_after_it():
+    """Guards against taking a unit over from a healthy agent that restarted.
 
-    The agent had just started again and claimed a unit. Another agent was told the
-    claim first, and then, by a table that was read a moment before, the heartbeat of
-    the process before. What came last was taken for the newest, so the unit was taken.
+    The agent had just restarted and claimed a unit. Another agent received the claim
+    first, and then, from a table that was read a moment before, the heartbeat of the
+    old process. The row received last was treated as the newest, so the unit was taken
+    over, its items ran at two agents and their step was late.
     """
-    own, _, _ = make_open_job(groups=1)
-    own.apply_claim_rows([claim_row("job", "00000", "other", "s2", 5)])
-    own.peers.apply_rows([pulse("other", "s", 7, 4)])
-    assert choose(own) is None
+    tracker, _, _ = make_tracker_with_job(groups=1)
+    tracker.apply_claim_rows([claim_row("job", "00000", "other", "s2", 5)])
+    tracker.peers.apply_rows([heartbeat_row("other", "s", 7, 4)])
+    assert choose(tracker) is None
 
 
-def test_a_claim_of_an_ended_process_is_free_though_it_is_told_late():
-    """Units waited 1.2 s for nobody after all processes had started again.
+def test_a_claim_of_an_ended_process_is_free_at_once_if_it_arrives_late():
+    """Guards against a wait of 1.2 s for ended processes after a restart of all.
 
-    An agent that started read the table of agents first, and then the claims of the
-    processes before; each counted as a sign of life of its holder.
+    A starting agent reads the table of agents first, and then the claims of the
+    previous processes. Each claim counted as a sign of life of its holder.
     """
-    own, clock, _ = make_open_job(groups=1)
-    own.peers.apply_rows([pulse("other", "s2", 1, 4)])
+    tracker, clock, _ = make_tracker_with_job(groups=1)
+    tracker.peers.apply_rows([heartbeat_row("other", "s2", 1, 4)])
     clock.advance(0.1)
-    own.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
-    candidate = choose(own)
+    tracker.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
+    candidate = choose(tracker)
     assert candidate is not None and candidate.silent_claim is None
 
 
-def test_a_claim_of_a_new_process_that_is_not_heard_is_asked_for():
-    own, clock, _ = make_open_job(groups=1)
-    own.peers.apply_rows([pulse("other", "s", 7, 4)])
-    own.apply_claim_rows([claim_row("job", "00000", "other", "s2", 5)])
+def test_a_new_process_without_heartbeat_is_probed_before_its_unit_is_claimed():
+    tracker, clock, _ = make_tracker_with_job(groups=1)
+    tracker.peers.apply_rows([heartbeat_row("other", "s", 7, 4)])
+    tracker.apply_claim_rows([claim_row("job", "00000", "other", "s2", 5)])
     clock.advance(HEARTBEAT_TIMEOUT + 0.1)
-    assert choose(own).silent_claim is not None
+    assert choose(tracker).silent_claim is not None
+
 
+def test_a_candidate_is_not_claimable_after_its_claim_or_job_changed():
+    """Changes that arrive during the probe of its holder take precedence.
 
-def test_a_candidate_is_claimed_only_as_it_was_chosen():
-    """What was told while its holder was asked goes first: claims, an end, own ones."""
-    own, clock, value = make_open_job(groups=2)
+    These are claims of this agent that are pending, claims of others, and the end of
+    the job.
+    """
+    tracker, clock, value = make_tracker_with_job(groups=2)
     for key in ("00000", "00001"):
-        own.apply_claim_rows([claim_row("job", key, "other", "s", 3)])
+        tracker.apply_claim_rows([claim_row("job", key, "other", "s", 3)])
     clock.advance(HEARTBEAT_TIMEOUT + 0.1)
-    chosen = choose(own)
-    assert own.is_claimable(chosen)
-    own.pending_claims["job", chosen.unit.key] = chosen
-    assert not own.is_claimable(chosen), "its claim is on its way"
-    own.pending_claims.clear()
-    own.apply_claim_rows([claim_row("job", chosen.unit.key, "third", "t", 4)])
+    chosen = choose(tracker)
+    assert tracker.is_claimable(chosen)
+    tracker.pending_claims["job", chosen.unit.key] = chosen
+    assert not tracker.is_claimable(chosen), "its claim is pending"
+    tracker.pending_claims.clear()
+    tracker.apply_claim_rows([claim_row("job", chosen.unit.key, "third", "t", 4)])
     clock.advance(HEARTBEAT_TIMEOUT + 0.1)
-    assert not own.is_claimable(chosen), "another agent held it meanwhile"
-    chosen = choose(own)
-    own.close_job(value.id)
-    assert not own.is_claimable(chosen), "its job has ended"
+    assert not tracker.is_claimable(chosen), "another agent has claimed it since"
+    chosen = choose(tracker)
+    tracker.close_job(value.id)
+    assert not tracker.is_claimable(chosen), "its job has ended"
 
 
-def test_nobody_is_taken_for_dead_while_the_store_is_away():
-    own, clock, _ = make_open_job(groups=1)
-    own.peers.apply_rows([pulse("other", "s", 1, 2)])
-    own.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
+def test_heartbeats_missing_due_to_a_store_outage_do_not_free_claims():
+    tracker, clock, _ = make_tracker_with_job(groups=1)
+    tracker.peers.apply_rows([heartbeat_row("other", "s", 1, 2)])
+    tracker.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
     clock.advance(10)
-    own.peers.note_store_recovered()
-    assert choose(own) is None, "its heartbeats could not be heard"
+    tracker.peers.note_store_recovered()
+    assert choose(tracker) is None, "its heartbeats could not be received"
     clock.advance(HEARTBEAT_TIMEOUT + 0.1)
-    assert choose(own) is not None
+    assert choose(tracker) is not None
 
 
-def test_a_unit_stays_with_its_agent_while_the_store_is_away():
-    """Claims reach a store that returns before the first heartbeat is heard."""
-    own, clock, _ = make_open_job(groups=1)
-    own.peers.apply_rows([pulse("other", "s", 1, 2)])
-    own.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
+def test_claims_stay_while_the_table_of_agents_is_out_of_date():
+    """A store that recovers carries out claims before the first heartbeat arrives."""
+    tracker, clock, _ = make_tracker_with_job(groups=1)
+    tracker.peers.apply_rows([heartbeat_row("other", "s", 1, 2)])
+    tracker.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
     silent_since = clock.monotonic()
-    own.peers.table_current_at = lambda: silent_since
+    tracker.peers.table_current_at = lambda: silent_since
     for _ in range(100):
         clock.advance(0.1)
-        assert choose(own) is None, "it may beat, and nobody hears it"
-    own.peers.note_store_recovered()
-    own.peers.table_current_at = clock.monotonic
-    assert choose(own) is None
+        assert choose(tracker) is None, "its heartbeats, if any, cannot be received"
+    tracker.peers.note_store_recovered()
+    tracker.peers.table_current_at = clock.monotonic
+    assert choose(tracker) is None
     clock.advance(HEARTBEAT_TIMEOUT + 0.1)
-    assert choose(own) is not None
+    assert choose(tracker) is not None
 
 
-def test_a_host_that_was_lost_before_the_store_went_is_missed_in_time():
-    own, clock, _ = make_open_job(groups=1)
-    own.peers.apply_rows([pulse("other", "s", 1, 2)])
-    own.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
+def test_a_host_lost_before_a_store_outage_times_out_during_the_outage():
+    tracker, clock, _ = make_tracker_with_job(groups=1)
+    tracker.peers.apply_rows([heartbeat_row("other", "s", 1, 2)])
+    tracker.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
     clock.advance(HEARTBEAT_TIMEOUT + 0.1)
     listened = clock.monotonic()
-    own.peers.table_current_at = lambda: listened
+    tracker.peers.table_current_at = lambda: listened
     clock.advance(MAX_TABLE_AGE)
-    assert choose(own) is not None
+    assert choose(tracker) is not None
 
 
-def test_a_done_or_ended_unit_is_not_claimed():
-    own, _, _ = make_open_job(groups=2)
-    own.apply_claim_rows([claim_row("job", "00000", "gone", "s", 3, done=True)])
-    assert choose(own).unit.key == "00001"
-    own.apply_job_rows([Row(JOBS, END_KEY, 4, {"ended": True}, "job")])
-    assert choose(own) is None
+def test_units_that_are_done_or_of_an_ended_job_are_not_claimed():
+    tracker, _, _ = make_tracker_with_job(groups=2)
+    tracker.apply_claim_rows([claim_row("job", "00000", "gone", "s", 3, done=True)])
+    assert choose(tracker).unit.key == "00001"
+    tracker.apply_job_rows([Row(JOBS, END_KEY, 4, {"ended": True}, "job")])
+    assert choose(tracker) is None
 
 
-def test_an_engine_with_old_weights_claims_nothing():
-    own, _, _ = make_open_job()
-    own.apply_job_rows([job_row(job(split(items(step="x")), "late", oldest_version=5))])
-    assert choose(own, version=0) is None
-    assert choose(own, version=4).job.id == "job"
+def test_an_engine_claims_no_unit_that_requires_newer_weights():
+    tracker, _, _ = make_tracker_with_job()
+    tracker.apply_job_rows(
+        [job_row(job(split(items(step="x")), "late", oldest_version=5))]
+    )
+    assert choose(tracker, version=0) is None
+    assert choose(tracker, version=4).job.id == "job"
 
 
-def test_a_claim_told_before_its_job_counts():
+def test_a_claim_that_arrives_before_its_job_counts():
     clock = ManualClock()
-    own = make_tracker(clock=clock)
-    own.peers.apply_rows([pulse("other", "s", 1, 2)])
-    own.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
-    own.apply_job_rows([job_row(job(split(items(1))))])
-    assert choose(own) is None
+    tracker = make_tracker(clock=clock)
+    tracker.peers.apply_rows([heartbeat_row("other", "s", 1, 2)])
+    tracker.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
+    tracker.apply_job_rows([job_row(job(split(items(1))))])
+    assert choose(tracker) is None
 
 
-def test_groups_of_an_earlier_step_are_begun_first():
+def test_groups_of_an_earlier_step_come_first():
     units = split(items(12))
     again = begin_order(job(units), {"g11"})
     assert again[0].group == "g11"
 
 
-def test_groups_of_jobs_that_are_removed_are_forgotten():
-    own, _, value = make_open_job()
+def test_groups_are_removed_with_their_jobs():
+    tracker, _, value = make_tracker_with_job()
     removed = Row(JOBS, JOB_KEY, 9, None, value.id)
-    own.apply_job_rows([removed])
+    tracker.apply_job_rows([removed])
     again = job(split(items(2)), "later")
-    own.apply_job_rows([job_row(again)])
-    assert own.known_groups() == {"g0", "g1"}
-    own.apply_job_rows([Row(JOBS, JOB_KEY, 10, None, "later")])
-    assert own.known_groups() == set()
-    assert not own.ended_jobs and not own.open_jobs
+    tracker.apply_job_rows([job_row(again)])
+    assert tracker.known_groups() == {"g0", "g1"}
+    tracker.apply_job_rows([Row(JOBS, JOB_KEY, 10, None, "later")])
+    assert tracker.known_groups() == set()
+    assert not tracker.ended_jobs and not tracker.open_jobs
 
 
-def test_a_unit_for_whose_end_there_is_no_memory_is_left_to_another_engine():
+def test_a_unit_that_exceeds_the_memory_at_its_end_is_not_chosen():
     sizes = [8000, 600]
     step = [
         Item(f"{group}-{n}", "/run/", {}, b"", f"g{group}", size, memory=size)
         for group, size in enumerate(sizes)
         for n in range(2)
     ]
-    own = make_tracker(clock=ManualClock())
-    own.apply_job_rows([job_row(job(split(step)))])
+    tracker = make_tracker(clock=ManualClock())
+    tracker.apply_job_rows([job_row(job(split(step)))])
     full = FreeCapacity(4, 22_000, (8000, 8000))
     taken = {
-        own.choose_candidate([MODEL], {MODEL: 1}, full).unit.hint for _ in range(20)
+        tracker.choose_candidate([MODEL], {MODEL: 1}, full).unit.hint for _ in range(20)
     }
     assert taken == {600}
 
 
 def uneven_tracker():
-    """Return a board with nine short units and a long one, and its clock."""
+    """Return a tracker with nine short units and a long one, and its clock."""
     clock = ManualClock()
-    own = make_tracker(clock=clock)
+    tracker = make_tracker(clock=clock)
     found = [
         Item(f"i{n}", "/run/", {}, b"", f"g{n}", 100 if n == 4 else 10 + n)
         for n in range(10)
     ]
-    own.apply_job_rows([job_row(job(split(found)))])
-    return own, clock
+    tracker.apply_job_rows([job_row(job(split(found)))])
+    return tracker, clock
 
 
-def test_a_slower_engine_begins_with_short_items_and_leaves_the_long_ones():
-    """At an engine that is 1.28 times slower they made their steps 2 to 3 s late."""
-    own, clock = uneven_tracker()
-    hints = [choose(own, slower=[MODEL]).unit.hint for _ in range(50)]
+def test_a_slower_engine_chooses_short_items_and_leaves_long_ones_to_others():
+    """On an engine that is 1.28 times slower, long items delayed steps by 2 to 3 s."""
+    tracker, clock = uneven_tracker()
+    hints = [choose(tracker, slower=[MODEL]).unit.hint for _ in range(50)]
     assert set(hints) == {10, 11, 12, 13, 15, 16}
-    assert 100 in {choose(own).unit.hint for _ in range(50)}
-    for unit in own.open_jobs["job"].order:
+    assert 100 in {choose(tracker).unit.hint for _ in range(50)}
+    for unit in tracker.open_jobs["job"].order:
         if unit.hint < 100:
-            own.apply_claim_rows(
+            tracker.apply_claim_rows(
                 [claim_row("job", unit.key, "other", "s", 3, done=True)]
             )
-    assert choose(own, slower=[MODEL]) is None
+    assert choose(tracker, slower=[MODEL]) is None
     clock.advance(LONG_UNIT_WAIT)
-    assert choose(own, slower=[MODEL]).unit.hint == 100, "nobody else took it"
+    assert choose(tracker, slower=[MODEL]).unit.hint == 100, (
+        "no faster engine has claimed it in time"
+    )
 
 
-def test_long_items_of_a_lost_host_are_left_to_faster_engines_too():
-    """They had waited since their step came, and went to whoever was first."""
-    own, clock = uneven_tracker()
-    own.peers.apply_rows([pulse("other", "s", 1, 2)])
-    for unit in own.open_jobs["job"].order:
+def test_long_items_of_a_lost_host_are_left_to_faster_engines_first():
+    """The wait for faster engines starts when the host is lost.
+
+    It was counted from the arrival of the step, so any engine could claim the items.
+    """
+    tracker, clock = uneven_tracker()
+    tracker.peers.apply_rows([heartbeat_row("other", "s", 1, 2)])
+    for unit in tracker.open_jobs["job"].order:
         done = unit.hint < 100
-        own.apply_claim_rows([claim_row("job", unit.key, "other", "s", 3, done)])
+        tracker.apply_claim_rows([claim_row("job", unit.key, "other", "s", 3, done)])
     clock.advance(HEARTBEAT_TIMEOUT + 0.1)
-    assert choose(own, slower=[MODEL]) is None
-    assert choose(own).unit.hint == 100
+    assert choose(tracker, slower=[MODEL]) is None
+    assert choose(tracker).unit.hint == 100
     clock.advance(LONG_UNIT_WAIT)
-    assert choose(own, slower=[MODEL]).unit.hint == 100
+    assert choose(tracker, slower=[MODEL]).unit.hint == 100
 
 
-def test_long_items_of_a_restarted_agent_are_taken_though_it_goes_on_beating():
-    """Long items of an agent that had started again waited though an engine had room.
+def test_long_items_of_a_restarted_agent_are_claimed_despite_its_new_heartbeats():
+    """Guards against long items of a restarted agent that are never claimed.
 
-    An engine that is built slower leaves long items to faster ones for a second from
-    when they became free. Each heartbeat of the new process, 0.4 s apart, counted as
-    that moment, so the second never ended, and where no faster engine had room, nobody
-    took them. Cause: the newest heartbeat was taken for the first of its session.
+    A slower engine leaves long items to faster ones for a second after they became
+    free. Each heartbeat of the new process, 0.4 s apart, counted as that moment, so the
+    second never ended, and where no faster engine had capacity, the items waited.
+    Cause: the newest heartbeat was treated as the first of its session.
     """
-    own, clock = uneven_tracker()
-    own.peers.apply_rows([pulse("other", "s", 1, 2)])
-    for unit in own.open_jobs["job"].order:
+    tracker, clock = uneven_tracker()
+    tracker.peers.apply_rows([heartbeat_row("other", "s", 1, 2)])
+    for unit in tracker.open_jobs["job"].order:
         done = unit.hint < 100
-        own.apply_claim_rows([claim_row("job", unit.key, "other", "s", 3, done)])
-    own.peers.apply_rows([pulse("other", "s2", 1, 4)])
-    assert choose(own, slower=[MODEL]) is None, "a faster engine may take it"
+        tracker.apply_claim_rows([claim_row("job", unit.key, "other", "s", 3, done)])
+    tracker.peers.apply_rows([heartbeat_row("other", "s2", 1, 4)])
+    assert choose(tracker, slower=[MODEL]) is None, "a faster engine may claim it"
     for number in range(2, 5):
         clock.advance(HEARTBEAT_PERIOD)
-        own.peers.apply_rows([pulse("other", "s2", number, number + 3)])
-    assert choose(own, slower=[MODEL]).unit.hint == 100
+        tracker.peers.apply_rows([heartbeat_row("other", "s2", number, number + 3)])
+    assert choose(tracker, slower=[MODEL]).unit.hint == 100
 
 
-def beat(agent, engine, usual, places=4, version=2):
+def engine_heartbeat_row(agent, engine, usual, places=4, version=2):
     value = {"session": f"s-{agent}", "beat": 1, "usual": usual}
     value |= {"engine": engine, "places": places}
     return Row(AGENTS, agent, version, value)
 
 
-def test_faster_are_those_of_the_same_model_that_live():
-    own, clock, _ = make_open_job()
-    rows = [beat("a", "e1", 0.04), beat("b", "e2", 0.05), beat("c", "e3", 0.04)]
-    own.peers.apply_rows(rows)
-    assert [b.engine for b in own.peers.faster_engines(0.052, ["e1", "e2"])] == ["e1"]
-    assert own.peers.faster_engines(0.045, ["e1", "e2"]) == [], (
-        "a full engine is no slower one"
+def test_faster_engines_are_live_ones_among_the_given_engines():
+    tracker, clock, _ = make_tracker_with_job()
+    rows = [
+        engine_heartbeat_row("a", "e1", 0.04),
+        engine_heartbeat_row("b", "e2", 0.05),
+        engine_heartbeat_row("c", "e3", 0.04),
+    ]
+    tracker.peers.apply_rows(rows)
+    assert [b.engine for b in tracker.peers.faster_engines(0.052, ["e1", "e2"])] == [
+        "e1"
+    ]
+    assert tracker.peers.faster_engines(0.045, ["e1", "e2"]) == [], (
+        "a full engine does not count as a slower one"
+    )
+    assert tracker.peers.faster_engines(0.0, ["e1"]) == [], (
+        "the pace to compare with is unknown"
     )
-    assert own.peers.faster_engines(0.0, ["e1"]) == [], "its own pace is not known"
     clock.advance(HEARTBEAT_TIMEOUT + 0.1)
-    assert own.peers.faster_engines(0.052, ["e1"]) == []
+    assert tracker.peers.faster_engines(0.052, ["e1"]) == []
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -1,8 +1,8 @@
-"""What an agent knows of its claims may be old by the time it acts on it.
+"""Agents whose information about claims is out of date when they act on it.
 
-The store has a unit as one agent's until another write is carried out, and each answer
-and each question takes time in which more may be told. Each test opens with what users
-saw of it.
+The store assigns a unit to an agent until another write is carried out, and further
+changes may arrive during each call and each probe. The story of each test starts with
+the effect that users saw.
 """
 
 import asyncio
@@ -35,11 +35,11 @@
     return world, agent, engine
 
 
-def test_a_unit_that_is_handed_over_is_not_begun_by_who_looks_for_work_then():
-    """An engine was slow, and its unit began anew on it instead of elsewhere.
+def test_a_unit_being_handed_over_is_not_started_by_a_claim_loop():
+    """A unit handed over by a slow engine started again on the same engine.
 
-    The agent was about to look for work when the unit was handed over. Its look came
-    before the first turn of the task that gives the unit back.
+    A claim loop of the agent ran after the hand-over began, and before the first step
+    of the task that gives the unit back.
     """
 
     async def scenario():
@@ -50,17 +50,17 @@
         agent.wake()
         agent.runner.hand_over_all("the engine is slow")
         await turns()
-        assert len(engine.started) == 2, "the unit began again where it was given back"
+        assert len(engine.started) == 2, "the unit must not restart on its old engine"
         await world.close()
 
     play(scenario)
 
 
-def test_a_unit_that_fails_is_left_alone_until_it_was_given_back():
-    """A unit that meets an error of the program ran again and again at one agent.
+def test_a_failed_unit_is_not_started_before_it_was_given_back():
+    """A unit that raises an unexpected error ran again and again at one agent.
 
-    It is given back after a pause, in which the store has it as this agent's. Whoever
-    looked for work in the pause began it.
+    It is given back after a pause, during which the store still assigns it to this
+    agent. The claim loops started it in the pause.
     """
 
     async def scenario():
@@ -78,11 +78,12 @@
     play(scenario)
 
 
-def test_a_unit_whose_return_was_carried_out_unanswered_is_not_begun():
-    """An engine began units anew that its agent had given back.
+def test_a_unit_is_not_started_after_its_return_was_stored_without_answer():
+    """An engine started units again that its agent had given back.
 
-    The answer to the return was lost, its second try conflicted, and until the store's
-    changes came the agent took the unit for its own.
+    The answer to the write that gives the unit back was lost and its second try
+    conflicted. Until the change feed delivered the row, the agent treated the unit as
+    its own.
     """
 
     async def scenario():
@@ -90,7 +91,7 @@
         world, agent, engine = await busy(store)
         store.told.clear()
         await turns()
-        # A slow engine gets nothing new for two seconds.
+        # A slow engine gets no new work for two seconds.
         agent.slow_at = agent.clock.monotonic()
         agent.runner.hand_over_all("the engine is slow")
         await until(lambda: store.lost and not agent.runner.returns.pending)
@@ -102,14 +103,14 @@
     play(scenario)
 
 
-def test_a_unit_is_not_taken_from_an_agent_that_is_heard_while_it_is_asked():
+def test_a_unit_is_not_taken_over_if_a_heartbeat_arrives_during_the_probe():
     """A step was late, since its items ran at two agents.
 
-    An agent was silent, and the question to it found no answer; its heartbeat came
-    while it was asked, and its unit was taken over all the same.
+    An agent had sent no heartbeat, and the probe of it failed. Its heartbeat arrived
+    during the probe, and its unit was taken over nevertheless.
     """
 
-    class Overtaken(LivenessProbe):
+    class HeartbeatDuringProbe(LivenessProbe):
         def __init__(self):
             self.answered = False
 
@@ -122,28 +123,28 @@
 
     async def scenario():
         nonlocal world, agent
-        world, presence, engine = World(), Overtaken(), FakeEngine()
+        world, probe, engine = World(), HeartbeatDuringProbe(), FakeEngine()
         beat = to_row(Heartbeat("other", 1))
         await world.store.commit([Write(AGENTS, "b", beat)])
         (unit,) = await world.submit(groups=1, size=2)
         claim = to_row(Claim("b", "other"))
         await world.store.commit([Write(CLAIMS, unit.key, claim, part="job")])
-        agent = world.agent(engine=engine, presence=presence)
-        await until(lambda: presence.answered)
+        agent = world.agent(engine=engine, presence=probe)
+        await until(lambda: probe.answered)
         await turns()
-        assert not engine.started, "the unit of an agent that works was taken"
+        assert not engine.started, "the unit of a working agent must not be taken over"
         await world.close()
 
     world = agent = None
     play(scenario)
 
 
-def test_a_claim_that_was_carried_out_while_the_engine_fell_silent_is_returned():
-    """Items of a step waited for an engine that did not serve, though others had room.
+def test_a_claim_stored_without_answer_is_given_back_if_the_engine_fails():
+    """Items waited for an engine that did not serve, while others had capacity.
 
-    The engine fell silent while its agent's claim was on its way. The claim was carried
-    out and its answer lost, and who does not look for work did not begin the unit, so
-    it was not given back either.
+    The engine stopped serving while a claim of its agent was pending. The claim was
+    stored and its answer lost. While its engine does not serve, an agent starts no
+    units, so this one was not started, and for that reason not given back either.
     """
 
     async def scenario():
@@ -164,11 +165,12 @@
     play(scenario)
 
 
-def test_a_conflict_that_no_claim_explains_is_not_tried_again_at_once():
-    """An agent asked the store without pause, 133 times a second, for one unit.
+def test_an_unexplained_conflict_is_not_retried_at_once():
+    """An agent tried to claim one unit 133 times a second without a pause.
 
-    Its job had been removed, and that was not told. Its claim conflicted, the claims
-    that it read did not say why, and the next try was the same.
+    The job had been removed, and the change feed had not delivered that. The claim
+    conflicted, the claims that were read did not explain it, and the next try was the
+    same.
     """
 
     async def scenario():
@@ -185,11 +187,12 @@
     play(scenario)
 
 
-def test_an_agent_that_leaves_returns_what_its_claims_bring():
-    """Units of a host that was stopped in turn waited 1.5 s for nobody.
+def test_a_draining_agent_gives_back_units_of_claims_answered_late():
+    """Units of a host that was stopped in a rolling restart waited 1.5 s.
 
-    Its process had given its units back and was ending when a claim of it was answered;
-    it began the unit, and the store had it as held until others missed the process.
+    Its process had given its units back when a pending claim was answered. It started
+    the unit, and the store had the unit as held until other agents detected the loss
+    of the process.
     """
 
     async def scenario():
@@ -213,13 +216,13 @@
     play(scenario)
 
 
-def test_a_unit_is_not_claimed_where_room_went_while_its_holder_was_asked():
-    """An engine was given six items for four places, and its items were late.
+def test_a_unit_is_not_claimed_if_capacity_is_used_up_during_the_probe():
+    """An engine with four slots was given six items, and its items were late.
 
-    While the holder of a unit was asked, other claims took the room for it.
+    While the holder of a unit was probed, other claims used up the capacity for it.
     """
 
-    class Slow(LivenessProbe):
+    class SlowProbe(LivenessProbe):
         def __init__(self):
             self.asked = 0
             self.answer = asyncio.Event()
@@ -230,16 +233,16 @@
             return False
 
     async def scenario():
-        world, presence, engine = World(), Slow(), FakeEngine()
+        world, probe, engine = World(), SlowProbe(), FakeEngine()
         engine.hold.clear()
         (unit,) = await world.submit("old", groups=1, size=2)
         claim = to_row(Claim("b", "other"))
         await world.store.commit([Write(CLAIMS, unit.key, claim, part="old")])
-        agent = world.agent(engine=engine, presence=presence)
-        await until(lambda: presence.asked)
+        agent = world.agent(engine=engine, presence=probe)
+        await until(lambda: probe.asked)
         await world.submit("new", groups=2, size=2)
         await until(lambda: agent.runner.load == 4)
-        presence.answer.set()
+        probe.answer.set()
         await turns()
         assert agent.runner.load == 4
         await world.close()
--- a/tests/test_late_machine.py
+++ b/tests/test_late_machine.py
@@ -1,7 +1,8 @@
-"""Agents and desks over a store whose answers come late: no item stands twice.
+"""Random tests of agents and desks over a store with late answers.
 
-What users saw is told in `test_late_answers.py`. Here the order of events is left to
-chance, in the loop's own time, so that seconds cost nothing and a seed plays alike.
+Each item must have exactly one result. `test_late_answers.py` describes the faults that
+users saw. Here the order of events is random, on an event loop with simulated time, so
+that waiting costs no time and each seed always gives the same order of events.
 """
 
 import asyncio
@@ -21,12 +22,13 @@
 from tests import jobs_world as jw
 from tests.own_time import LoopClock, OwnTime
 
-# Seconds with faults, until all is listed, and for what is still on its way.
+# Seconds with faults, at most until all results are listed afterwards, and for calls
+# that are still in progress then.
 FAULTS, CALM, REST = 8.0, 40.0, 6.0
 
 
-class Way(WrappedStore):
-    """The way of one process to the store, on which writes and answers are late."""
+class LateStore(WrappedStore):
+    """Store connection of one process, with late writes and answers."""
 
     def __init__(self, world):
         super().__init__(world.tables)
@@ -34,27 +36,27 @@
         self.chance = world.chances()
         self.ended = False
 
-    async def pass_(self, most):
+    async def delay(self, most):
         await asyncio.sleep(self.chance.uniform(0.001, most))
         if self.ended:
             await asyncio.Event().wait()
 
     async def commit(self, writes):
-        await self.pass_(0.005)
-        fates = ("late", "late", "late", "lost", "later", "refused", "well")
-        fate = self.chance.choice(fates) if self.world.faulty else "well"
-        if fate == "refused":
+        await self.delay(0.005)
+        outcomes = ("late", "late", "late", "lost", "later", "refused", "prompt")
+        kind = self.chance.choice(outcomes) if self.world.faulty else "prompt"
+        if kind == "refused":
             return Unavailable("429")
-        if fate == "later":
+        if kind == "later":
             late = self.carry_out(writes, self.chance.uniform(0.4, 5.0))
             self.world.tasks.append(asyncio.create_task(late))
-            await self.pass_(0.4)
+            await self.delay(0.4)
             return Unknown("no answer, and not carried out yet")
         rows = [(w.table, w.part, w.key) for w in writes]
-        self.world.doubled += [row for row in rows if rows.count(row) > 1]
+        self.world.duplicate_rows += [row for row in rows if rows.count(row) > 1]
         outcome = await self.inner.commit(writes)
-        await self.pass_(0.005 if fate == "well" else 1.0)
-        return Unknown("its answer was lost") if fate == "lost" else outcome
+        await self.delay(0.005 if kind == "prompt" else 1.0)
+        return Unknown("its answer was lost") if kind == "lost" else outcome
 
     async def carry_out(self, writes, after):
         await asyncio.sleep(after)
@@ -62,12 +64,12 @@
 
     async def scan(self, table, prefix, part=""):
         rows = await self.inner.scan(table, prefix, part)
-        await self.pass_(0.01)
+        await self.delay(0.01)
         return rows
 
 
 class Engine(jw.FakeEngine):
-    """Engine whose texts differ from run to run."""
+    """Engine that generates a different text in each run of an item."""
 
     def __init__(self, world):
         super().__init__()
@@ -82,26 +84,26 @@
 
 
 class Fleet:
-    """Two agents, a desk that follows the store and one that reads it."""
+    """Two agents, a desk that follows the store's changes and one that reads rows."""
 
     def __init__(self, seed):
         self.chance = random.Random(seed)
         self.tables, self.clock = MemoryTables(), LoopClock()
-        self.faulty, self.doubled, self.tasks = True, [], []
-        self.agents, self.ways = {}, {}
-        self.desks = [Desk(Way(self), self.clock, jw.METRICS) for _ in range(2)]
-        self.jobs, self.stood = {}, collections.defaultdict(dict)
+        self.faulty, self.duplicate_rows, self.tasks = True, [], []
+        self.agents, self.stores = {}, {}
+        self.desks = [Desk(LateStore(self), self.clock, jw.METRICS) for _ in range(2)]
+        self.jobs, self.results = {}, collections.defaultdict(dict)
 
     def chances(self):
         return random.Random(self.chance.getrandbits(64))
 
     def start(self, name):
-        directory, way = Directory(), Way(self)
+        directory, store = Directory(), LateStore(self)
         directory.set_routes(jw.routes())
         directory.set_server(jw.server(f"e-{name}"))
         self.agents[name] = agent = Agent(
             AgentIdentity(name, jw.SERVICE, jw.ADDRESS),
-            way,
+            store,
             directory,
             Engine(self),
             jw.FakeForwarder(),
@@ -110,7 +112,7 @@
             self.chances(),
             jw.METRICS,
         )
-        self.ways[name] = way
+        self.stores[name] = store
         self.tasks.append(asyncio.create_task(agent.run()))
 
     async def submit(self, name):
@@ -118,23 +120,23 @@
         self.jobs[name] = job = jw.job(units, name)
         await self.desks[0].submit(job, units, self.clock.monotonic() + CALM)
         for desk in self.desks:
-            self.tasks.append(asyncio.create_task(self.read_on(desk, name)))
+            self.tasks.append(asyncio.create_task(self.read_results(desk, name)))
 
-    async def read_on(self, desk, name):
-        """Read as trainers do; what stood somewhere stands there at every desk."""
+    async def read_results(self, desk, name):
+        """Read results as trainers do; check that all desks agree on each position."""
         chance, after = self.chances(), 0
         while True:
             page = await desk.read(name, chance.choice((0, after)), 0.2)
             after = max(after, page.next)
             for place, result in enumerate(page.results, page.next - len(page.results)):
-                known = self.stood[name].setdefault(place, result)
+                known = self.results[name].setdefault(place, result)
                 assert known == result, f"{place} of {name} holds another result"
             await asyncio.sleep(chance.uniform(0.02, 0.2))
 
     async def disturb(self):
         agent = self.agents[name := self.chance.choice("ab")]
         if self.chance.random() < 0.1:
-            self.ways[name].ended = True
+            self.stores[name].ended = True
             self.start(name)
         elif agent.runner.units and self.chance.random() < 0.5:
             units = list(agent.runner.units.values())
@@ -151,9 +153,9 @@
         while self.clock.monotonic() < until:
             await self.disturb()
         self.faulty, until = False, until + CALM
-        due = sum(job.total for job in self.jobs.values())
+        expected = sum(job.total for job in self.jobs.values())
         while self.clock.monotonic() < until:
-            if sum(map(len, self.stood.values())) >= due:
+            if sum(map(len, self.results.values())) >= expected:
                 break
             await asyncio.sleep(0.1)
         await asyncio.sleep(REST)
@@ -163,15 +165,15 @@
         for task in self.tasks:
             if task.done() and not task.cancelled():
                 task.result()
-        assert not self.doubled, "a transaction names a row twice"
+        assert not self.duplicate_rows, "a transaction names a row twice"
         for name, job in self.jobs.items():
-            items = [result.item for result in self.stood[name].values()]
-            due = [item for unit in job.units for item in unit.items]
-            assert sorted(items) == sorted(due), "each item stands once"
+            items = [result.item for result in self.results[name].values()]
+            expected = [item for unit in job.units for item in unit.items]
+            assert sorted(items) == sorted(expected), "each item stands once"
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_items_stand_once_whatever_comes_late(seed):
+def test_each_item_has_one_result_despite_late_and_lost_answers(seed):
     async def play():
         await Fleet(seed).play()
 
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -1,4 +1,4 @@
-"""Silent agents are asked, and heartbeats of large fleets stay within the store."""
+"""Liveness probes, and the load of a fleet's heartbeats on the store."""
 
 import collections
 import random
@@ -36,9 +36,9 @@
 PART_RATE = 200
 
 
-async def held_by_a_silent_agent(world, presence):
-    """Start an agent while another, of which nothing is heard, holds the only unit."""
-    agent = world.agent("a", presence=presence)
+async def start_beside_silent_holder(world, probe):
+    """Start an agent while another one without heartbeats holds the only unit."""
+    agent = world.agent("a", presence=probe)
     units = await world.submit(groups=1)
     claim = Claim("silent", "s")
     row = await world.store.read(CLAIMS, units[0].key, "job")
@@ -49,47 +49,47 @@
 
 
 @jobs_scenario
-async def test_a_silent_agent_that_answers_keeps_its_units(world: JobsWorld):
-    presence = ScriptedLivenessProbe("silent")
-    agent = await held_by_a_silent_agent(world, presence)
-    await until(lambda: len(presence.asked) >= 2)
-    assert not agent.runner.units, "it works, and is asked again later"
-    presence.working.clear()
+async def test_an_agent_that_answers_the_probe_keeps_its_units(world: JobsWorld):
+    probe = ScriptedLivenessProbe("silent")
+    agent = await start_beside_silent_holder(world, probe)
+    await until(lambda: len(probe.asked) >= 2)
+    assert not agent.runner.units, "its holder works and is probed again later"
+    probe.working.clear()
     assert len(await world.results()) == 2
 
 
 @scenario
-async def test_an_agent_says_which_start_of_it_works(world):
+async def test_a_probe_succeeds_only_for_the_session_that_runs(world):
     store = await world.serve(world.store)
     path = world.path(store)
     await call(path)
-    told = HttpLivenessProbe(path)
-    told.session = "now"
-    address = await world.serve(Relay(path, {LIVENESS_PATH: told.serve}).serve)
-    asker = HttpLivenessProbe(world.path(store, [Neighbour("a", address, "here")]))
-    assert await asker.is_alive(Claim("a", "now"))
-    assert not await asker.is_alive(Claim("a", "before")), "that start is no more"
-    assert not await asker.is_alive(Claim("unknown", "now"))
+    answering = HttpLivenessProbe(path)
+    answering.session = "now"
+    address = await world.serve(Relay(path, {LIVENESS_PATH: answering.serve}).serve)
+    asking = HttpLivenessProbe(world.path(store, [Neighbour("a", address, "here")]))
+    assert await asking.is_alive(Claim("a", "now"))
+    assert not await asking.is_alive(Claim("a", "before")), "that process has ended"
+    assert not await asking.is_alive(Claim("unknown", "now"))
 
 
 @scenario
-async def test_an_agent_that_cannot_store_results_does_not_work(world):
+async def test_a_probe_fails_if_the_agent_cannot_store_results(world):
     path = world.path(NOBODY)
     await fail_twice(path)
-    told = HttpLivenessProbe(path)
-    told.session = "now"
-    address = await world.serve(Relay(path, {LIVENESS_PATH: told.serve}).serve)
-    asker = HttpLivenessProbe(world.path(NOBODY, [Neighbour("a", address, "here")]))
-    assert not await asker.is_alive(Claim("a", "now"))
+    answering = HttpLivenessProbe(path)
+    answering.session = "now"
+    address = await world.serve(Relay(path, {LIVENESS_PATH: answering.serve}).serve)
+    asking = HttpLivenessProbe(world.path(NOBODY, [Neighbour("a", address, "here")]))
+    assert not await asking.is_alive(Claim("a", "now"))
 
 
 @scenario
-async def test_a_host_that_is_gone_does_not_work(world):
-    asker = HttpLivenessProbe(world.path(NOBODY, [Neighbour("a", NOBODY, "here")]))
-    assert not await asker.is_alive(Claim("a", "now"))
+async def test_a_probe_of_an_unreachable_host_fails(world):
+    asking = HttpLivenessProbe(world.path(NOBODY, [Neighbour("a", NOBODY, "here")]))
+    assert not await asking.is_alive(Claim("a", "now"))
 
 
-def test_small_fleets_beat_often_and_large_ones_within_the_store():
+def test_heartbeats_are_frequent_in_small_fleets_and_limited_in_large_ones():
     assert heartbeat_period(19, 3200) == HEARTBEAT_PERIOD
     assert heartbeat_period(22, 1500) == HEARTBEAT_PERIOD
     assert heartbeat_period(350, 3200) == 350 / 320
@@ -97,41 +97,41 @@
         assert agents / heartbeat_period(agents, writes) <= max(0.1 * writes, 19 / 0.4)
 
 
-def test_no_part_of_the_store_carries_more_than_half_of_what_it_takes():
+def test_heartbeats_take_less_than_half_of_the_capacity_of_each_store_part():
     parts = collections.Counter(heartbeat_part(f"side-{n}") for n in range(1600))
     assert max(parts.values()) / heartbeat_period(1600, 3200) < PART_RATE / 2
 
 
 def pool(agents, fleet, clock, seed):
-    """Return boards of idle agents of one model, each holder beating now and then.
+    """Return trackers of idle agents of one model, and the holders' heartbeat times.
 
     Parameters
     ----------
     agents : int
-        Engines of the model, each with one unit but for the idle ones.
+        Engines of the model; each holds a unit, and a tenth as many are idle.
     fleet : int
-        Agents of all models, which decide how often each of them beats.
+        Agents of all models, whose number determines the heartbeat period.
     """
     chance = random.Random(seed)
     value = job(split(items(agents, size=1)))
     period = heartbeat_period(fleet, 3200)
     phases = {f"a{n}": chance.uniform(0, period) for n in range(agents)}
-    boards = []
+    trackers = []
     for number in range(agents // 10):
         peers = Peers(f"idle{number}", clock)
-        board = ClaimTracker(f"idle{number}", clock, random.Random(number), peers)
-        board.apply_job_rows([job_row(value)])
+        tracker = ClaimTracker(f"idle{number}", clock, random.Random(number), peers)
+        tracker.apply_job_rows([job_row(value)])
         rows = [
             claim_row("job", unit.key, f"a{n}", "s", 2)
             for n, unit in enumerate(value.units)
         ]
-        board.apply_claim_rows(rows)
-        boards.append(board)
-    return boards, phases, period
+        tracker.apply_claim_rows(rows)
+        trackers.append(tracker)
+    return trackers, phases, period
 
 
-def beats_since(phases, period, before, now):
-    """Return the heartbeats that were written between two moments."""
+def heartbeats_between(phases, period, before, now):
+    """Return the heartbeats that are written between two times."""
     found = []
     for agent, phase in phases.items():
         beat = int((now - phase) // period)
@@ -140,40 +140,40 @@
     return found
 
 
-def seconds_to_go_on(agents, fleet, seed, lost="a150"):
-    """Return the seconds until an idle agent takes the unit of a lost host over."""
+def seconds_to_take_over(agents, fleet, seed, lost="a150"):
+    """Return the seconds until an idle agent may take a lost host's unit over."""
     clock = ManualClock()
-    boards, phases, period = pool(agents, fleet, clock, seed)
+    trackers, phases, period = pool(agents, fleet, clock, seed)
     del phases[lost]
-    began, asked_at = clock.monotonic(), {}
+    began, probed_at = clock.monotonic(), {}
     while True:
         before = clock.monotonic()
         clock.advance(CLAIM_PERIOD / 5)
-        told = beats_since(phases, period, before, clock.monotonic())
-        for board in boards:
-            board.peers.apply_rows(told)
-            since = clock.monotonic() - asked_at.get(board, 0)
-            ask = since >= PROBE_PERIOD
-            found = board.choose_candidate(
-                [MODEL], {MODEL: 1}, FreeCapacity(1), may_probe=ask
+        rows = heartbeats_between(phases, period, before, clock.monotonic())
+        for tracker in trackers:
+            tracker.peers.apply_rows(rows)
+            since = clock.monotonic() - probed_at.get(tracker, 0)
+            may_probe = since >= PROBE_PERIOD
+            found = tracker.choose_candidate(
+                [MODEL], {MODEL: 1}, FreeCapacity(1), may_probe=may_probe
             )
             if found is None:
                 continue
-            asked_at[board] = clock.monotonic()
+            probed_at[tracker] = clock.monotonic()
             if found.silent_claim.agent == lost:
                 return clock.monotonic() - began
-            board.peers.note_alive(found.silent_claim)
+            tracker.peers.note_alive(found.silent_claim)
 
 
-def test_the_unit_of_a_lost_host_goes_on_soon_in_a_small_and_a_large_fleet():
-    """One in ten engines of a model has room; 8 models share 1,600 engines."""
-    small = [seconds_to_go_on(20, 20, seed, lost="a15") for seed in range(5)]
+def test_the_unit_of_a_lost_host_is_taken_over_soon_in_small_and_large_fleets():
+    """One in ten engines of a model has capacity; 8 models share 1,600 engines."""
+    small = [seconds_to_take_over(20, 20, seed, lost="a15") for seed in range(5)]
     assert max(small) < 2.0, small
-    large = [seconds_to_go_on(200, 1600, seed) for seed in range(5)]
+    large = [seconds_to_take_over(200, 1600, seed) for seed in range(5)]
     assert max(large) < 4.0, large
 
 
-def test_a_unit_of_a_silent_agent_comes_before_those_of_newer_steps():
+def test_a_unit_of_a_silent_agent_is_chosen_before_units_of_newer_steps():
     clock = ManualClock()
     own = ClaimTracker("mine", clock, random.Random(1), Peers("mine", clock))
     own.apply_job_rows([job_row(job(split(items(1)), "old"))])
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -1,4 +1,4 @@
-"""An engine far behind its peers hands its items over."""
+"""Measurement of paces, and hand-over of items from slow and slower engines."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 async def saved_rows(world):
-    """Wait for what agents saved of the job's items; return its rows."""
+    """Wait for saved events of the job's items; return their rows."""
     rows = []
     while not rows:
         await asyncio.sleep(0.01)
@@ -29,7 +29,7 @@
 
 
 async def slower_agent(world):
-    """Start an agent whose engine runs two long items; return it and the units."""
+    """Start an agent with two long running items; return it and all units."""
     engine = FakeEngine(length=400)
     engine.gap = 0.03
     agent = world.agent("slow", engine)
@@ -39,13 +39,13 @@
     return agent, units
 
 
-async def tell_of_a_faster_engine(world):
-    """Write the heartbeat of an agent beside an engine that is faster than any."""
+async def write_faster_heartbeat(world):
+    """Write the heartbeat of an agent whose engine is faster than any other."""
     value = {"session": "f", "beat": 1, "usual": 0.001, "engine": "e-fast", "places": 4}
     await world.store.commit([Write(AGENTS, "fast", value)])
 
 
-def test_a_pace_needs_enough_recent_gaps():
+def test_a_pace_requires_enough_recent_gaps():
     clock = ManualClock()
     pace = Pace(clock)
     for _ in range(MIN_GAPS - 1):
@@ -53,13 +53,13 @@
     assert pace.current() == 0
     pace.record_gap(5.0)
     clock.advance(MIN_SPAN)
-    assert pace.current() == 0.03, "a lone pause does not decide"
+    assert pace.current() == 0.03, "a single pause does not determine the pace"
     clock.advance(WINDOW + 0.1)
     assert pace.current() == 0
 
 
-def test_the_first_gaps_of_a_burst_do_not_decide():
-    """Twelve prompts read anew: gaps of 85 ms for 0.2 s, of 34 ms afterwards."""
+def test_long_gaps_at_the_start_of_a_burst_do_not_make_an_engine_slow():
+    """While twelve prompts are read, gaps are 85 ms for 0.2 s, and 34 ms later."""
     clock = ManualClock()
     pace = Pace(clock)
     for _ in range(2):
@@ -75,7 +75,7 @@
     assert pace.current() == 0.034
 
 
-def test_an_engine_that_stays_slow_is_found_within_its_window():
+def test_an_engine_that_stays_slow_is_detected_within_the_window():
     clock = ManualClock()
     pace = Pace(clock)
     for _ in range(6):
@@ -85,17 +85,17 @@
     assert is_slow(pace.current(), [0.034, 0.034, 0.035])
 
 
-def test_slow_is_far_behind_the_usual_and_never_all():
+def test_an_engine_is_slow_only_if_far_behind_the_median_of_its_peers():
     usual = [0.03, 0.04, 0.035]
     assert is_slow(0.1, usual)
-    assert not is_slow(0.06, usual), "a full engine is not a slow one"
+    assert not is_slow(0.06, usual), "a full engine does not count as slow"
     assert not is_slow(0.1, [0.1, 0.12, 0.1])
-    assert not is_slow(0.1, [0.03]), "one peer does not tell what is usual"
+    assert not is_slow(0.1, [0.03]), "one peer does not determine the usual pace"
     assert not is_slow(0.0, usual)
 
 
 @scenario
-async def test_a_slow_engine_hands_over_what_it_has_and_pauses(world: World):
+async def test_a_slow_engine_hands_its_units_over_and_gets_no_new_ones(world: World):
     slow = FakeEngine(length=400)
     slow.gap = 0.03
     agent = world.agent("slow", slow)
@@ -109,7 +109,7 @@
     assert agent.free_capacity(agent.local_engine.limits).free_slots == 0
 
 
-def test_the_usual_pace_is_the_best_of_the_last_seconds():
+def test_the_usual_pace_is_the_best_recent_one_and_is_kept_while_idle():
     clock = ManualClock()
     pace = Pace(clock)
     for gap in (0.04, 0.1):
@@ -119,7 +119,7 @@
             pace.usual()
     assert pace.usual() == 0.04
     clock.advance(USUAL_WINDOW + 0.1)
-    assert pace.usual() == 0.04, "an idle engine is as fast as it was"
+    assert pace.usual() == 0.04, "an idle engine keeps its usual pace"
     for _ in range(40):
         pace.record_gap(0.1)
         clock.advance(0.1)
@@ -128,7 +128,7 @@
     assert pace.usual() == 0
 
 
-def test_an_engine_is_slower_by_more_than_being_full_makes_it():
+def test_an_engine_is_slower_only_by_more_than_load_explains():
     assert is_slower(0.052, 0.041)
     assert not is_slower(0.0425, 0.0385)
     assert not is_slower(0.0, 0.04)
@@ -136,34 +136,36 @@
 
 
 @scenario
-async def test_long_items_that_a_slower_engine_began_are_given_back(world: World):
-    """Begun before its pace was known, they would end a fourth later than elsewhere."""
+async def test_long_items_started_on_a_slower_engine_are_given_back(world: World):
+    """Items started before the pace was known would take a quarter longer here."""
     agent, units = await slower_agent(world)
-    await tell_of_a_faster_engine(world)
+    await write_faster_heartbeat(world)
     long = next(unit for unit in units if unit.items[0].hint == 90)
     rows = await saved_rows(world)
     assert {row.key.split("/")[0] for row in rows} == {i.id for i in long.items}
     claim = await world.store.read("claims", long.key, "job")
-    assert not claim.value.get("agent"), "the faster one takes it"
+    assert not claim.value.get("agent"), "the faster engine's agent can claim it"
     others = [place for place in agent.runner.units if place[1] != long.key]
-    assert others, "the short ones stay"
+    assert others, "units of short items stay"
 
 
 @scenario
-async def test_long_items_go_also_where_their_engine_serves_another_model(world: World):
-    """An engine found to be slower changes its model while the first step runs."""
+async def test_long_items_are_given_back_after_the_engine_changed_its_model(
+    world: World,
+):
+    """An engine found to be slower may change its model while its first step runs."""
     agent, _ = await slower_agent(world)
     agent.weights.assigned_models = lambda: ("another",)
     agent.weights.engines_serving = lambda model: ["e-fast", "e-slow"]
-    await tell_of_a_faster_engine(world)
+    await write_faster_heartbeat(world)
     rows = await saved_rows(world)
     assert {row.key.split("/")[0] for row in rows} == {"job-1-0", "job-1-1"}
 
 
 @scenario
-async def test_units_that_went_are_forgotten_with_their_jobs(world: World):
+async def test_moved_units_are_forgotten_when_their_job_ends(world: World):
     agent, _ = await slower_agent(world)
-    await tell_of_a_faster_engine(world)
+    await write_faster_heartbeat(world)
     await until(lambda: agent.unit_migrator.migrated)
     agent.tracker.close_job("job")
     await until(lambda: not agent.unit_migrator.migrated)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,16 +1,16 @@
 """Heartbeats that the store carries out late.
 
-What users would see: items that run at a healthy engine start again at another one, and
-their step ends later by what was thrown away.
+Effect for users: items that run on a healthy engine start again on another one, and
+their step ends later by the work that is discarded.
 
 Order of events: a process writes a heartbeat, the store gives no answer, and the
 process ends. Its successor writes heartbeats and claims units. Then the store carries
-the old heartbeat out: the row tells of the old session, so the claims of the new one
-count as those of a process that is gone, and others take its units over without a
-question, until the next heartbeat: 0.4 s in a small fleet, 5 s with 1,600 agents.
+the old heartbeat out. The row now names the old session, so the claims of the new one
+look like those of an ended process, and other agents take its units over without a
+probe, until the next heartbeat: 0.4 s in a small fleet, 5 s with 1,600 agents.
 
-Cause: heartbeats were written whatever the row held, and readers believe the row that
-was written last.
+Cause: heartbeats were written without a condition on the row's version, and readers
+trust the row that was written last.
 """
 
 import asyncio
@@ -41,27 +41,27 @@
     def run():
         asyncio.run(asyncio.wait_for(test(Fleet()), 10))
 
-    # The test is given its fleet here, not by a fixture of that name.
+    # The fleet is passed here; pytest must not look for a fixture of that name.
     del run.__wrapped__
     return run
 
 
 class LateTables(MemoryTables):
-    """Tables that give some writes no answer, and carry them out at once or late.
+    """Tables that leave some writes unanswered, and carry them out at once or late.
 
     Attributes
     ----------
-    holding, losing : bool
-        Whether writes wait for `carry_out`, or lose their answers.
+    delaying, losing : bool
+        Whether writes wait for `carry_out`, or are stored without an answer.
     unreadable : bool
         Whether single rows cannot be read.
     calls : list of str
-        Kinds of the calls that were made.
+        Names of the methods that were called.
     """
 
     def __init__(self):
         super().__init__()
-        self.holding = False
+        self.delaying = False
         self.losing = False
         self.unreadable = False
         self.waiting = []
@@ -75,86 +75,86 @@
 
     async def commit(self, writes):
         self.calls.append("commit")
-        if self.holding:
+        if self.delaying:
             self.waiting.append(writes)
             return Unknown("no answer")
         outcome = await super().commit(writes)
         return Unknown("no answer") if self.losing else outcome
 
     async def carry_out(self):
-        """Carry out what waits; return the outcomes that nobody hears of."""
+        """Carry out the waiting writes; return their outcomes."""
         waiting, self.waiting = self.waiting, []
         return [await super(LateTables, self).commit(writes) for writes in waiting]
 
 
 class Fleet:
-    """Processes of one agent after each other, and another agent that hears them."""
+    """Successive processes of one agent, and another agent that reads their rows."""
 
     def __init__(self):
         self.clock = ManualClock()
         self.store = LateTables()
         self.reader = make_tracker("reader", self.clock).peers
-        self.heard = 0
+        self.delivered = 0
 
     def start(self, session):
-        """Return the heart of a process that has read the table of agents."""
-        own = make_tracker(session, self.clock)
-        own.peers.apply_rows(list(self.store.rows.values()))
-        station = LocalEngine(
+        """Return the writer of a new process that has read the table of agents."""
+        tracker = make_tracker(session, self.clock)
+        tracker.peers.apply_rows(list(self.store.rows.values()))
+        local_engine = LocalEngine(
             AgentIdentity(AGENT, SERVICE, ADDRESS),
             Directory(),
             FakeEngine(),
             self.clock,
         )
-        weights = WeightManager(station, own, self.clock, METRICS)
-        heart = HeartbeatWriter(
+        weights = WeightManager(local_engine, tracker, self.clock, METRICS)
+        writer = HeartbeatWriter(
             session,
-            station,
+            local_engine,
             weights,
-            own,
+            tracker,
             Pace(self.clock),
             self.store,
             self.clock,
             lambda: 0,
         )
-        heart.last = own.peers.last_heartbeat(AGENT)
-        return heart
+        writer.last = tracker.peers.last_heartbeat(AGENT)
+        return writer
 
-    def hear(self):
-        """Tell the reader what changed."""
-        self.reader.apply_rows(self.store.changed_rows(AGENTS, self.heard))
-        self.heard = self.store.version
+    def deliver(self):
+        """Deliver the changed rows to the reader."""
+        self.reader.apply_rows(self.store.changed_rows(AGENTS, self.delivered))
+        self.delivered = self.store.version
 
     def row(self):
-        """Return the session and the number of the heartbeat that stands."""
+        """Return the session and the number of the stored heartbeat."""
         row = self.store.rows[AGENTS, heartbeat_part(AGENT), AGENT]
         return row.value["session"], row.value["beat"]
 
-    async def beat_late(self, heart):
-        """Write a heartbeat that the store has not carried out yet."""
-        self.store.holding = True
-        await heart.write_next()
-        self.store.holding = False
+    async def write_late(self, writer):
+        """Write a heartbeat that the store carries out only later."""
+        self.store.delaying = True
+        await writer.write_next()
+        self.store.delaying = False
 
-    async def beat_unanswered(self, heart):
-        """Write a heartbeat that stands, with its answer lost."""
+    async def write_unanswered(self, writer):
+        """Write a heartbeat that is stored, with its answer lost."""
         self.store.losing = True
-        await heart.write_next()
+        await writer.write_next()
         self.store.losing = False
 
 
 @scenario
-async def test_a_late_heartbeat_of_an_ended_process_leaves_its_successor_alive(fleet):
+async def test_a_late_heartbeat_of_an_ended_process_does_not_replace_newer_ones(fleet):
     old = fleet.start("old")
     await old.write_next()
-    await fleet.beat_late(old)
+    await fleet.write_late(old)
     new = fleet.start("new")
     await new.write_next()
-    fleet.hear()
+    fleet.deliver()
     claimed_at = fleet.clock.monotonic()
     fleet.clock.advance(HEARTBEAT_PERIOD / 2)
     await fleet.store.carry_out()
-    fleet.hear()
+    fleet.deliver()
     assert (
         fleet.reader.holder_state(Claim(AGENT, "new"), claimed_at) is HolderState.WORKS
     )
@@ -164,15 +164,15 @@
     late_reader = make_tracker("late", fleet.clock).peers
     late_reader.apply_rows(list(fleet.store.rows.values()))
     assert late_reader.last_heartbeat(AGENT).session == "new", (
-        "nor for who reads it only now"
+        "a reader that starts now must see the new session too"
     )
 
 
 @scenario
-async def test_a_late_first_heartbeat_leaves_the_successor_alive(fleet):
-    """A process that starts again and again may end before its first is carried out."""
+async def test_a_late_first_heartbeat_does_not_replace_that_of_the_successor(fleet):
+    """A process may end before the store carries its first heartbeat out."""
     first = fleet.start("first")
-    await fleet.beat_late(first)
+    await fleet.write_late(first)
     second = fleet.start("second")
     await second.write_next()
     await fleet.store.carry_out()
@@ -180,25 +180,25 @@
 
 
 @scenario
-async def test_a_late_heartbeat_is_no_sign_of_life(fleet):
-    heart = fleet.start("s")
-    await fleet.beat_late(heart)
-    await heart.write_next()
-    fleet.hear()
+async def test_a_late_heartbeat_does_not_count_as_a_sign_of_life(fleet):
+    writer = fleet.start("s")
+    await fleet.write_late(writer)
+    await writer.write_next()
+    fleet.deliver()
     fleet.clock.advance(HEARTBEAT_TIMEOUT + 0.1)
     await fleet.store.carry_out()
-    fleet.hear()
+    fleet.deliver()
     claim = Claim(AGENT, "s")
     assert fleet.reader.holder_state(claim, 0.0) is HolderState.SILENT
     assert fleet.row() == ("s", 2)
 
 
 @scenario
-async def test_the_first_heartbeat_stands_whatever_was_written_since_it_was_read(fleet):
-    """Without its fence, an engine gets no orders; the next beat may be 5 s away."""
+async def test_the_first_heartbeat_is_stored_even_if_the_row_changed_meanwhile(fleet):
+    """Without a fence, an engine gets no orders; the next heartbeat may be 5 s away."""
     old = fleet.start("old")
     await old.write_next()
-    await fleet.beat_late(old)
+    await fleet.write_late(old)
     new = fleet.start("new")
     await fleet.store.carry_out()
     await new.write_next()
@@ -207,111 +207,117 @@
 
 
 @scenario
-async def test_a_lost_answer_does_not_stop_the_heartbeats(fleet):
-    heart = fleet.start("s")
-    await heart.write_next()
-    fence = heart.weights.fence
+async def test_heartbeats_continue_after_a_lost_answer(fleet):
+    writer = fleet.start("s")
+    await writer.write_next()
+    fence = writer.weights.fence
     for _ in range(5):
-        await fleet.beat_unanswered(heart)
-        await heart.write_next()
-        await heart.write_next()
-        assert fleet.row() == ("s", heart.last.beat)
-    assert heart.weights.fence == fence, "the fence stays that of the start"
+        await fleet.write_unanswered(writer)
+        await writer.write_next()
+        await writer.write_next()
+        assert fleet.row() == ("s", writer.last.beat)
+    assert writer.weights.fence == fence, (
+        "the fence does not change after the first heartbeat"
+    )
 
 
 @scenario
-async def test_a_first_heartbeat_whose_answer_is_lost_gives_the_fence(fleet):
-    heart = fleet.start("s")
-    await fleet.beat_unanswered(heart)
-    assert not heart.weights.fence
-    await heart.write_next()
-    assert 0 < heart.weights.fence <= fleet.store.version
+async def test_the_fence_is_set_although_the_first_answer_is_lost(fleet):
+    writer = fleet.start("s")
+    await fleet.write_unanswered(writer)
+    assert not writer.weights.fence
+    await writer.write_next()
+    assert 0 < writer.weights.fence <= fleet.store.version
 
 
 @scenario
-async def test_a_row_that_cannot_be_read_does_not_stop_the_heartbeats(fleet):
-    """Another writer's row says neither its version nor its session."""
-    heart = fleet.start("s")
-    await fleet.beat_unanswered(heart)
+async def test_heartbeats_continue_if_the_row_cannot_be_read(fleet):
+    """A row that cannot be read yields neither its version nor its session."""
+    writer = fleet.start("s")
+    await fleet.write_unanswered(writer)
     fleet.store.unreadable = True
-    await heart.write_next()
-    assert fleet.row() == ("s", heart.last.beat)
-    assert heart.weights.fence
+    await writer.write_next()
+    assert fleet.row() == ("s", writer.last.beat)
+    assert writer.weights.fence
 
 
 @scenario
-async def test_an_old_copy_of_the_row_does_not_stop_the_heartbeats(fleet):
-    """The store may serve one to reads while it takes writes."""
-    heart = fleet.start("s")
-    await heart.write_next()
+async def test_heartbeats_continue_if_reads_return_an_old_copy(fleet):
+    """The store may serve reads from an old copy while it accepts writes."""
+    writer = fleet.start("s")
+    await writer.write_next()
     copy = await fleet.store.read(AGENTS, AGENT, heartbeat_part(AGENT))
-    await fleet.beat_unanswered(heart)
+    await fleet.write_unanswered(writer)
 
     async def read_old(table, key, part=""):
         return copy
 
     fleet.store.read = read_old
-    await heart.write_next()
-    assert fleet.row() == ("s", heart.last.beat)
+    await writer.write_next()
+    assert fleet.row() == ("s", writer.last.beat)
 
 
 @scenario
-async def test_a_heartbeat_is_one_call_of_the_store(fleet):
-    """Heartbeats of 1,600 agents take a tenth of the store's writes."""
-    heart = fleet.start("s")
+async def test_a_heartbeat_costs_one_store_call(fleet):
+    """The heartbeats of 1,600 agents already take a tenth of the store's writes."""
+    writer = fleet.start("s")
     for _ in range(10):
-        await heart.write_next()
+        await writer.write_next()
     assert fleet.store.calls == ["commit"] * 10
 
 
 @scenario
-async def test_an_unanswered_heartbeat_that_was_told_costs_no_further_call(fleet):
-    heart = fleet.start("s")
+async def test_a_lost_answer_costs_no_second_call_if_the_table_has_the_heartbeat(fleet):
+    writer = fleet.start("s")
     for _ in range(10):
-        await fleet.beat_unanswered(heart)
-        heart.tracker.peers.apply_rows(list(fleet.store.rows.values()))
+        await fleet.write_unanswered(writer)
+        writer.tracker.peers.apply_rows(list(fleet.store.rows.values()))
     assert fleet.store.calls == ["commit"] * 10
     assert fleet.row() == ("s", 10)
 
 
 @scenario
-async def test_rows_that_are_told_again_are_no_signs_of_life(fleet):
-    """A lost host's units waited longer where the table of agents was read anew.
+async def test_rows_received_again_do_not_count_as_signs_of_life(fleet):
+    """Guards against a longer wait for a lost host's units after a table is read again.
 
-    Its last heartbeat was told; the store's history was lost, so the table was read
-    again, and the host's row in it counted as a heartbeat of that moment. For another
-    1.2 s (`SILENCE`) nobody asked whether it works. Cause: a row was taken without
-    comparing its version with the one known.
+    The store's change history was lost, so the table of agents was read again as a
+    whole, and the host's last heartbeat in it counted as a new one. For another 1.2 s
+    (`HEARTBEAT_TIMEOUT`) no agent probed the host. Cause: a row was applied without
+    comparing its version with the known one.
     """
-    heart = fleet.start("s")
-    await heart.write_next()
-    fleet.hear()
+    writer = fleet.start("s")
+    await writer.write_next()
+    fleet.deliver()
     fleet.clock.advance(HEARTBEAT_TIMEOUT + 0.1)
     claim = Claim(AGENT, "s")
     assert fleet.reader.holder_state(claim, 0.0) is HolderState.SILENT
     fleet.reader.apply_rows(list(fleet.store.rows.values()))
     assert fleet.reader.holder_state(claim, 0.0) is HolderState.SILENT
-    await heart.write_next()
-    fleet.hear()
+    await writer.write_next()
+    fleet.deliver()
     assert fleet.reader.holder_state(claim, 0.0) is HolderState.WORKS
 
 
 @scenario
-async def test_an_older_row_of_an_agent_is_left_out(fleet):
-    """A table that was read for several processes may be told behind its changes."""
+async def test_an_older_row_of_an_agent_is_ignored(fleet):
+    """A table read once for several processes may arrive after newer changes."""
     old = fleet.start("old")
     await old.write_next()
     before = list(fleet.store.rows.values())
     new = fleet.start("new")
     await new.write_next()
-    fleet.hear()
+    fleet.deliver()
     fleet.reader.apply_rows(before)
     assert fleet.reader.last_heartbeat(AGENT).session == "new"
     gone = Row(AGENTS, AGENT, fleet.store.version + 1, None, heartbeat_part(AGENT))
     fleet.reader.apply_rows([*fleet.store.rows.values(), gone])
-    assert fleet.reader.last_heartbeat(AGENT).session == "", "its row was removed since"
+    assert fleet.reader.last_heartbeat(AGENT).session == "", (
+        "its row was removed afterwards"
+    )
     fleet.reader.apply_rows(list(fleet.store.rows.values()))
     assert fleet.reader.last_heartbeat(AGENT).session == ""
     late = make_tracker("late", fleet.clock).peers
     late.apply_rows([*fleet.store.rows.values(), gone])
-    assert late.last_heartbeat(AGENT).session == "", "nor within one answer"
+    assert late.last_heartbeat(AGENT).session == "", (
+        "rows within one answer follow the same rule"
+    )
