--- a/gypsumshift/jobs/agent.py
+++ b/gypsumshift/jobs/agent.py
@@ -52,8 +52,8 @@
 # the one before: while half of the store's answers were lost, items were claimed up to
 # 3.1 s after their step had arrived.
 CONCURRENT_CLAIMS = 3
-# Seconds between answers of the change feed of the table of agents: half of a heartbeat
-# period, by which the loss of an agent is detected later.
+# Seconds between answers of the change feed of the table of agents. It is half of a
+# heartbeat period and delays the detection of a lost agent by as much.
 PEERS_GATHER = 0.2
 # Seconds between two saves of what long runs have generated.
 SAVE_PERIOD = 1.0
@@ -69,7 +69,9 @@
 
 
 class Agent:
-    """Claims units while its engine has capacity, and hands them over when it fails.
+    """Claims units while its engine has capacity, and hands them over if it fails.
+
+    Units of an engine that is much slower than its peers are handed over as well.
 
     Parameters
     ----------
