--- a/gypsumshift/gateway.py
+++ b/gypsumshift/gateway.py
@@ -5,7 +5,7 @@
 import random
 
 from gypsumshift.accounting import Accounting
-from gypsumshift.jobs.desk import Desk
+from gypsumshift.jobs.jobmanager import JobManager
 from gypsumshift.lifecycle import Node
 from gypsumshift.platforms import RowStore
 from gypsumshift.policy import DEFAULT, Policy
@@ -70,10 +70,14 @@
         self.admission: Admission = admission
         self.accounting: Accounting | None = accounting
         self.chance: random.Random = chance
-        self.desk = Desk(store, clock, metrics)
+        self.job_manager = JobManager(store, clock, metrics)
         self.directory_watches: list[Watch] = directory_watches
         self.guard = Guard(store, clock, chance, metrics)
-        watches = [*directory_watches, *self.desk.watches, self.guard.table.watch]
+        watches = [
+            *directory_watches,
+            *self.job_manager.watches,
+            self.guard.table.watch,
+        ]
         super().__init__(directory, watches, Pool(zone, clock, chance, policy), clock)
         directory.on_restart.append(lambda old: fetcher.cut(old.address))
         self.pool.connected = fetcher.connected
@@ -99,7 +103,7 @@
         for port in self.ports:
             port.server.body_limit = self.directory.routes.body_limit or BODY_LIMIT
         self.guard.sweep()
-        await self.desk.sweep(self.chance)
+        await self.job_manager.remove_expired_jobs(self.chance)
 
     def work(self):
         """Return what else the gateway does until it is cancelled."""
--- a/gypsumshift/jobs/__init__.py
+++ b/gypsumshift/jobs/__init__.py
@@ -1,8 +1,8 @@
 """Jobs: batch jobs of trainers, from their acceptance to their results."""
 
-from gypsumshift.jobs.desk import Desk
 from gypsumshift.jobs.engine import EngineClient, EngineProtocol, EngineReport, Event
-from gypsumshift.jobs.model import (
+from gypsumshift.jobs.jobmanager import JobManager
+from gypsumshift.jobs.records import (
     Item,
     Job,
     Result,
@@ -10,10 +10,10 @@
     RewardCall,
     Unit,
 )
-from gypsumshift.jobs.schedule import split
+from gypsumshift.jobs.schedule import split_into_units
 
 __all__ = [
-    "Desk",
+    "JobManager",
     "EngineClient",
     "EngineProtocol",
     "EngineReport",
@@ -24,5 +24,5 @@
     "ResultState",
     "RewardCall",
     "Unit",
-    "split",
+    "split_into_units",
 ]
--- a/gypsumshift/jobs/agent.py
+++ b/gypsumshift/jobs/agent.py
@@ -18,14 +18,14 @@
 from gypsumshift.jobs.heartbeatwriter import STORE_WRITES, HeartbeatWriter
 from gypsumshift.jobs.liveness import NO_PROBE, LivenessProbe
 from gypsumshift.jobs.localengine import AgentIdentity, LocalEngine
-from gypsumshift.jobs.model import (
+from gypsumshift.jobs.pace import is_slow
+from gypsumshift.jobs.peers import Peers
+from gypsumshift.jobs.records import (
     AGENTS,
     CLAIMS,
     JOBS,
     Claim,
 )
-from gypsumshift.jobs.pace import is_slow
-from gypsumshift.jobs.peers import Peers
 from gypsumshift.jobs.unitmigrator import UnitMigrator
 from gypsumshift.jobs.unitrunner import UnitRunner
 from gypsumshift.jobs.weights import WeightManager
--- a/gypsumshift/jobs/claimer.py
+++ b/gypsumshift/jobs/claimer.py
@@ -4,7 +4,7 @@
 from gypsumshift.clock import Clock
 from gypsumshift.jobs.claimtracker import Candidate, ClaimTracker
 from gypsumshift.jobs.liveness import LivenessProbe
-from gypsumshift.jobs.model import CLAIMS, Claim, UnitSummary, to_row
+from gypsumshift.jobs.records import CLAIMS, Claim, UnitSummary, to_row
 from gypsumshift.jobs.unitrunner import UnitRunner
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import Committed, Conflict, Unavailable
@@ -100,7 +100,7 @@
         """
         job, unit = candidate.job, candidate.unit
         held = self.tracker.find_claim(job.id, unit.key)
-        returning = (job.id, unit.key) in self.runner.returns.pending
+        returning = (job.id, unit.key) in self.runner.releaser.pending
         if self.tracker.is_own(held) and not returning:
             self.runner.start_unit(candidate, held.version)
 
--- a/gypsumshift/jobs/claimtracker.py
+++ b/gypsumshift/jobs/claimtracker.py
@@ -14,7 +14,8 @@
 
 from gypsumshift.clock import Clock
 from gypsumshift.jobs.capacity import FreeCapacity
-from gypsumshift.jobs.model import (
+from gypsumshift.jobs.peers import HolderState, Peers
+from gypsumshift.jobs.records import (
     END_KEY,
     JOB_KEY,
     Claim,
@@ -23,8 +24,7 @@
     parse_row,
     parse_rows,
 )
-from gypsumshift.jobs.peers import HolderState, Peers
-from gypsumshift.jobs.schedule import LONG_FACTOR, begin_order, long_units
+from gypsumshift.jobs.schedule import LONG_FACTOR, long_units, order_units
 from gypsumshift.platforms import ABSENT, Row
 
 __all__ = ["Candidate", "ClaimTracker", "StoredClaim"]
@@ -180,8 +180,8 @@
         self.open_jobs[job.id] = OpenJob(
             job,
             self.clock.monotonic(),
-            begin_order(job, seen),
-            begin_order(job, seen, shortest=True),
+            order_units(job, seen),
+            order_units(job, seen, shortest=True),
             long_units(job, LONG_FACTOR),
             claims,
         )
--- a/gypsumshift/jobs/engine.py
+++ b/gypsumshift/jobs/engine.py
@@ -12,7 +12,7 @@
 
 from gypsumshift.eventstream import StreamBroken, blocks
 from gypsumshift.fetch import Exchange, Fetcher, FetchError
-from gypsumshift.jobs.model import Item, Job
+from gypsumshift.jobs.records import Item, Job
 from gypsumshift.outcomes import Answered, NotRun, Unknown
 from gypsumshift.serving.answers import MISDIRECTED, foreign_id
 from gypsumshift.serving.directory import BackendServer
--- a/gypsumshift/jobs/heartbeatwriter.py
+++ b/gypsumshift/jobs/heartbeatwriter.py
@@ -13,8 +13,8 @@
 from gypsumshift.clock import Clock
 from gypsumshift.jobs.claimtracker import ClaimTracker
 from gypsumshift.jobs.localengine import LocalEngine
-from gypsumshift.jobs.model import AGENTS, Heartbeat, to_row
 from gypsumshift.jobs.pace import Pace
+from gypsumshift.jobs.records import AGENTS, Heartbeat, to_row
 from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.outcomes import Committed, Conflict, Written
 from gypsumshift.platforms import ABSENT, Row, RowStore, Write
@@ -161,7 +161,7 @@
         stay as they were told.
         """
         server = self.local_engine.server
-        start = server.start if server else self.last.start
+        start = server.start if server else self.last.server_start
         known = self.last_for_start(start)
         beat = self.last.beat + 1 if self.last.session == self.session else 1
         return Heartbeat(
@@ -188,7 +188,7 @@
 
     def last_for_start(self, start: ServerStart) -> Heartbeat:
         """Return what was told last of a start of the engine; empty of another one."""
-        return self.last if start == self.last.start else Heartbeat("")
+        return self.last if start == self.last.server_start else Heartbeat("")
 
 
 def heartbeat_period(agents: int, store_writes: float) -> float:
--- a/gypsumshift/jobs/itemrun.py
+++ b/gypsumshift/jobs/itemrun.py
@@ -9,9 +9,9 @@
 from gypsumshift.clock import Clock
 from gypsumshift.eventstream import StreamBroken
 from gypsumshift.jobs.engine import EngineClient, Event, StreamRefused
-from gypsumshift.jobs.model import Item, Job, Partial, Result, ResultState
 from gypsumshift.jobs.pace import Pace
-from gypsumshift.jobs.schedule import urgency
+from gypsumshift.jobs.records import Item, Job, Partial, Result, ResultState
+from gypsumshift.jobs.schedule import item_urgency
 from gypsumshift.outcomes import Answered, HeldBack
 from gypsumshift.serving.calls import Call
 from gypsumshift.serving.directory import BackendServer, Directory
@@ -147,7 +147,7 @@
             The engine broke off; what came is kept.
         """
         try:
-            rank = urgency(self.job, self.item)
+            rank = item_urgency(self.job, self.item)
             stream = self.engine.stream(
                 server, self.item, self.job, len(self.events), rank
             )
--- a/gypsumshift/jobs/itemrunner.py
+++ b/gypsumshift/jobs/itemrunner.py
@@ -11,7 +11,7 @@
 from gypsumshift.eventstream import StreamBroken
 from gypsumshift.jobs.itemrun import RETRY_PAUSE, ItemRun
 from gypsumshift.jobs.localengine import LocalEngine
-from gypsumshift.jobs.model import Result
+from gypsumshift.jobs.records import Result
 from gypsumshift.jobs.rewardlimiter import RewardLimiter
 from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.metrics import Metrics
--- a/gypsumshift/jobs/liveness.py
+++ b/gypsumshift/jobs/liveness.py
@@ -12,7 +12,7 @@
 
 from gypsumshift import logs
 from gypsumshift.fetch import FetchError
-from gypsumshift.jobs.model import Claim
+from gypsumshift.jobs.records import Claim
 from gypsumshift.neighbours import StorePath
 from gypsumshift.server import Request, Response, json_response
 
--- a/gypsumshift/jobs/peers.py
+++ b/gypsumshift/jobs/peers.py
@@ -13,9 +13,9 @@
 import attrs
 
 from gypsumshift.clock import Clock
-from gypsumshift.jobs.model import Claim, Heartbeat, parse_row
 from gypsumshift.jobs.pace import is_slower
 from gypsumshift.jobs.placement import EngineView
+from gypsumshift.jobs.records import Claim, Heartbeat, parse_row
 from gypsumshift.platforms import ABSENT, Row
 from gypsumshift.serving.directory import ServerStart
 
@@ -212,7 +212,7 @@
         beats = [
             p.heartbeat for p in sorted(self.states.values(), key=lambda p: p.seen_at)
         ]
-        return {b.start: EngineView(b.engine, b.home, b.usual) for b in beats}
+        return {b.server_start: EngineView(b.engine, b.home, b.usual) for b in beats}
 
     def faster_engines(self, usual: float, engines: Collection[str]) -> list[Heartbeat]:
         """Return what agents tell whose engines are built faster than one.
--- a/gypsumshift/jobs/placement.py
+++ b/gypsumshift/jobs/placement.py
@@ -16,8 +16,8 @@
 
 import attrs
 
-from gypsumshift.jobs.model import Job
 from gypsumshift.jobs.pace import is_slower
+from gypsumshift.jobs.records import Job
 
 __all__ = [
     "Demand",
--- a/gypsumshift/jobs/model.py
+++ b/gypsumshift/jobs/records.py
@@ -24,11 +24,11 @@
     "JOB_KEY",
     "PARTIALS",
     "RESULTS",
-    "TABLES",
+    "JOB_TABLES",
     "TEXTS",
     "UNITS",
     "Claim",
-    "ForeignRow",
+    "InvalidRowError",
     "Heartbeat",
     "Item",
     "Job",
@@ -39,10 +39,10 @@
     "Unit",
     "UnitSummary",
     "from_row",
-    "job_id",
+    "qualified_job_id",
     "parse_row",
     "parse_rows",
-    "summary",
+    "summarize_unit",
     "to_row",
 ]
 
@@ -55,7 +55,7 @@
 TEXTS = "texts"
 AGENTS = "agents"
 # Those with a part for each job, in the order in which an old job is removed.
-TABLES = (TEXTS, PARTIALS, CLAIMS, RESULTS, UNITS, JOBS)
+JOB_TABLES = (TEXTS, PARTIALS, CLAIMS, RESULTS, UNITS, JOBS)
 # Keys in the table of jobs.
 JOB_KEY = "job"
 END_KEY = "end"
@@ -63,7 +63,7 @@
 log = logs.logger("model")
 
 
-class ForeignRow(ValueError):
+class InvalidRowError(ValueError):
     """A row is not of the kind that its table holds: another writer put it there."""
 
 
@@ -119,7 +119,7 @@
     memory: int = 0
 
     @property
-    def size(self) -> int:
+    def body_bytes(self) -> int:
         """Bytes of its bodies."""
         return len(self.body) + (len(self.reward.body) if self.reward else 0)
 
@@ -196,11 +196,11 @@
     workspace: str = ""
 
     @property
-    def total(self) -> int:
+    def item_count(self) -> int:
         """Number of items."""
         return sum(len(unit.items) for unit in self.units)
 
-    def unit_of(self, item_id: str) -> str | None:
+    def unit_key_of(self, item_id: str) -> str | None:
         """Return the key of the unit that holds an item."""
         holders = (u.key for u in self.units if item_id in u.items)
         return next(holders, None)
@@ -305,13 +305,19 @@
     home: str = ""
 
     @property
-    def start(self) -> ServerStart:
+    def server_start(self) -> ServerStart:
         """Start of the engine of which this tells."""
         return ServerStart(self.engine, self.born)
 
 
 # What `cattrs` raises for a value that is not of the kind asked for.
-MISFITS = (cattrs.BaseValidationError, AttributeError, KeyError, TypeError, ValueError)
+CONVERSION_ERRORS = (
+    cattrs.BaseValidationError,
+    AttributeError,
+    KeyError,
+    TypeError,
+    ValueError,
+)
 converter = cattrs.Converter(omit_if_default=True)
 converter.register_unstructure_hook(bytes, lambda b: base64.b64encode(b).decode())
 converter.register_structure_hook(bytes, lambda text, _: base64.b64decode(text))
@@ -326,11 +332,11 @@
     """Return a value of ``kind`` from a row of the store; raises `ForeignRow`."""
     try:
         return converter.structure(row, kind)
-    except MISFITS as error:
-        raise ForeignRow(f"no {kind.__name__}: {error!r}") from error
+    except CONVERSION_ERRORS as error:
+        raise InvalidRowError(f"no {kind.__name__}: {error!r}") from error
 
 
-def job_id(workspace: str, submitted: str) -> str:
+def qualified_job_id(workspace: str, submitted: str) -> str:
     """Return the id under which a batch job is kept.
 
     Each workspace has ids of its own: to others, its jobs are not there, and neither
@@ -359,12 +365,12 @@
     """Return the value of a row; None, with a log line, where it is not of the kind."""
     try:
         return from_row(row.value, kind)
-    except ForeignRow as error:
+    except InvalidRowError as error:
         log.error("Cannot read {}/{}/{}: {}", row.table, row.part, row.key, error)
         return None
 
 
-def summary(unit: Unit) -> UnitSummary:
+def summarize_unit(unit: Unit) -> UnitSummary:
     """Return what is known of a unit without its bodies."""
     ids = tuple(item.id for item in unit.items)
     hint = max(item.hint for item in unit.items)
--- a/gypsumshift/jobs/resultlog.py
+++ b/gypsumshift/jobs/resultlog.py
@@ -10,7 +10,7 @@
 import attrs
 
 from gypsumshift import logs
-from gypsumshift.jobs.model import Result, parse_row
+from gypsumshift.jobs.records import Result, parse_row
 from gypsumshift.platforms import Row
 
 __all__ = ["Entry", "ResultLog"]
@@ -52,37 +52,37 @@
 
     def __init__(self):
         self.entries: list[Entry] = []
-        self.items: dict[str, int] = {}
+        self.version_by_item: dict[str, int] = {}
         self.changed = asyncio.Event()
 
     def __len__(self) -> int:
         return len(self.entries)
 
-    def take(self, rows: list[Row]) -> None:
+    def add_rows(self, rows: list[Row]) -> None:
         """Take rows of the table of results."""
         known = len(self)
         last = self.entries[-1] if self.entries else None
         for row in rows:
             # Looked up row by row: one answer may tell a row twice.
-            if row.key in self.items:
-                self.note_known(row)
+            if row.key in self.version_by_item:
+                self.check_transaction(row)
             elif (result := parse_row(row, Result)) is not None:
-                self.add(row, result, last)
+                self.insert_result(row, result, last)
         if len(self) > known:
             self.changed.set()
             self.changed = asyncio.Event()
 
-    def add(self, row: Row, result: Result, last: Entry | None) -> None:
+    def insert_result(self, row: Row, result: Result, last: Entry | None) -> None:
         """Add a result; one in front of the last that was known moves others."""
         entry = Entry(row.version, row.key, result)
         if last is not None and entry < last:
             log.error("A result moves those behind it: {} of {}", row.key, row.part)
-        self.items[row.key] = row.version
+        self.version_by_item[row.key] = row.version
         bisect.insort(self.entries, entry)
 
-    def note_known(self, row: Row) -> None:
+    def check_transaction(self, row: Row) -> None:
         """Log a result that is told as of another transaction than before."""
-        known = self.items[row.key]
+        known = self.version_by_item[row.key]
         if known != row.version:
             log.error(
                 "A result was written twice: {} of {}, in {} and {}",
--- a/gypsumshift/jobs/rewardlimiter.py
+++ b/gypsumshift/jobs/rewardlimiter.py
@@ -13,8 +13,8 @@
 from collections.abc import AsyncIterator
 
 from gypsumshift.clock import Clock
-from gypsumshift.jobs.model import RewardCall
 from gypsumshift.jobs.prioritysemaphore import PrioritySemaphore
+from gypsumshift.jobs.records import RewardCall
 from gypsumshift.serving.directory import Directory
 
 __all__ = ["RewardLimiter", "share_of_places"]
--- a/gypsumshift/jobs/schedule.py
+++ b/gypsumshift/jobs/schedule.py
@@ -9,31 +9,37 @@
 import statistics
 from collections.abc import Collection
 
-from gypsumshift.jobs.model import Item, Job, Unit, UnitSummary
+from gypsumshift.jobs.records import Item, Job, Unit, UnitSummary
 
-__all__ = ["RepeatedItem", "begin_order", "long_units", "split", "urgency"]
+__all__ = [
+    "DuplicateItemIdError",
+    "order_units",
+    "long_units",
+    "split_into_units",
+    "item_urgency",
+]
 
 # Items of a group that are claimed together, both of which begin at once. They share a
 # prompt, which costs 1 to 5 ms to read again, the tenth of an event. With four, places
 # of engines stood empty until four were free; and units of eight, of which half might
 # wait for a place, took a step 1.26 times as long as its longest item (1.00 now).
-UNIT_ITEMS = 2
+MAX_UNIT_ITEMS = 2
 # Bytes of the bodies in one unit, so that its row stays below the 64 KiB that a
 # store takes: base64 adds a third, names and headers some 300 bytes an item.
-UNIT_BYTES = 30_000
+MAX_UNIT_BODY_BYTES = 30_000
 # An item is long where its estimate is this many times the median of its job's units.
 LONG_FACTOR = 2.0
 # Ranks at a model engine, 0 being the most urgent: where its memory runs out it puts
 # back the newest of the least urgent, which costs a short item little.
-URGENCY_LONG = 4
-URGENCY = 5
+LONG_ITEM_URGENCY = 4
+DEFAULT_URGENCY = 5
 
 
-class RepeatedItem(ValueError):
+class DuplicateItemIdError(ValueError):
     """Several items of a batch job have one id."""
 
 
-def split(items: list[Item]) -> list[Unit]:
+def split_into_units(items: list[Item]) -> list[Unit]:
     """Return the units of a batch job, groups in the order of their first items.
 
     Items of one group lie in the order of their estimates, so that a unit holds
@@ -43,19 +49,19 @@
     ------
     RepeatedItem
     """
-    check_ids(items)
+    check_unique_ids(items)
     groups: dict[str, list[Item]] = {}
     for number, item in enumerate(items):
         groups.setdefault(item.group or f"item-{number}", []).append(item)
     units: list[Unit] = []
     for members in groups.values():
         members.sort(key=lambda item: -item.hint)
-        for chunk in chunks(members):
+        for chunk in chunk_group(members):
             units.append(Unit(f"{len(units):05d}", tuple(chunk)))
     return units
 
 
-def check_ids(items: list[Item]) -> None:
+def check_unique_ids(items: list[Item]) -> None:
     """Raise `RepeatedItem` where several items have one id.
 
     One row holds the result of an item: two copies had 1 row for a total of 2, so that
@@ -64,24 +70,24 @@
     counts = collections.Counter(item.id for item in items)
     repeated = [item_id for item_id, count in counts.items() if count > 1]
     if repeated:
-        raise RepeatedItem(f"several items have the id {repeated[0]!r}")
+        raise DuplicateItemIdError(f"several items have the id {repeated[0]!r}")
 
 
-def chunks(members: list[Item]) -> list[list[Item]]:
+def chunk_group(members: list[Item]) -> list[list[Item]]:
     """Return the items of one group, cut where a unit would grow too large."""
     found: list[list[Item]] = []
     size = 0
     for item in members:
-        full = found and len(found[-1]) >= UNIT_ITEMS
-        if not found or full or size + item.size > UNIT_BYTES:
+        full = found and len(found[-1]) >= MAX_UNIT_ITEMS
+        if not found or full or size + item.body_bytes > MAX_UNIT_BODY_BYTES:
             found.append([])
             size = 0
         found[-1].append(item)
-        size += item.size
+        size += item.body_bytes
     return found
 
 
-def begin_order(
+def order_units(
     job: Job, groups_seen: Collection[str], shortest: bool = False
 ) -> list[UnitSummary]:
     """Return the units of a job in the order in which to begin them.
@@ -99,7 +105,7 @@
         The shortest estimates come before the longest: for an engine that is slower
         than its peers, which meets them in the middle.
     """
-    first = shortest_first if shortest else longest_first
+    first = shortest_first_key if shortest else longest_first_key
     again = [unit for unit in job.units if unit.group and unit.group in groups_seen]
     seen = {unit.group for unit in again}
     fresh = [unit for unit in job.units if unit.group not in seen]
@@ -109,12 +115,12 @@
     )
 
 
-def longest_first(unit: UnitSummary) -> tuple[int, str]:
+def longest_first_key(unit: UnitSummary) -> tuple[int, str]:
     """Return what units are ordered by, where nothing else counts."""
     return (-unit.hint, unit.key)
 
 
-def shortest_first(unit: UnitSummary) -> tuple[int, str]:
+def shortest_first_key(unit: UnitSummary) -> tuple[int, str]:
     """Return what units are ordered by for a slower engine."""
     return (unit.hint, unit.key)
 
@@ -135,7 +141,7 @@
     return set(sorted(longest, key=lambda group: longest[group])[needed:])
 
 
-def urgency(job: Job, item: Item) -> int:
+def item_urgency(job: Job, item: Item) -> int:
     """Return the rank of an item at its engine: long ones decide over a step's time."""
     usual = statistics.median(unit.hint for unit in job.units)
-    return URGENCY_LONG if item.hint > LONG_FACTOR * usual else URGENCY
+    return LONG_ITEM_URGENCY if item.hint > LONG_FACTOR * usual else DEFAULT_URGENCY
--- a/gypsumshift/jobs/unitmigrator.py
+++ b/gypsumshift/jobs/unitmigrator.py
@@ -9,7 +9,7 @@
 from gypsumshift.jobs.claimtracker import ClaimTracker
 from gypsumshift.jobs.heartbeatwriter import HeartbeatWriter
 from gypsumshift.jobs.schedule import long_units
-from gypsumshift.jobs.unit import UnitRun
+from gypsumshift.jobs.unitrun import UnitRun
 from gypsumshift.jobs.unitrunner import UnitRunner
 from gypsumshift.jobs.weights import WeightManager
 
@@ -86,7 +86,7 @@
     def move(self, model: str, places: int) -> None:
         """Hand long items of a model over, as far as there are places for them."""
         for unit in self.movable(model):
-            places -= unit.load
+            places -= unit.slots_used
             if places < 0:
                 return
             self.migrated.add((unit.job.id, unit.key))
--- a/gypsumshift/jobs/unit.py
+++ b/gypsumshift/jobs/unitrun.py
@@ -5,7 +5,7 @@
 import attrs
 
 from gypsumshift.jobs.itemrun import ItemRun
-from gypsumshift.jobs.model import Job, UnitSummary
+from gypsumshift.jobs.records import Job, UnitSummary
 
 __all__ = ["UnitRun"]
 
@@ -30,7 +30,7 @@
 
     job: Job
     summary: UnitSummary
-    version: int
+    claim_version: int
     claimed_at: float = 0.0
     runs: dict[str, ItemRun] = attrs.field(factory=dict)
     tasks: dict[str, asyncio.Task] = attrs.field(factory=dict)
@@ -41,19 +41,21 @@
         return self.summary.key
 
     @property
-    def generating(self) -> list[ItemRun]:
+    def generating_runs(self) -> list[ItemRun]:
         """Items that take a place of the engine, or are about to."""
         runs = self.runs.values()
         return [run for run in runs if not (run.generated or run.held_back)]
 
     @property
-    def load(self) -> int:
+    def slots_used(self) -> int:
         """Number of the items that take a place of the engine, or are about to."""
-        return len(self.summary.items) if "" in self.tasks else len(self.generating)
+        return (
+            len(self.summary.items) if "" in self.tasks else len(self.generating_runs)
+        )
 
     @property
-    def sizes(self) -> list[int]:
+    def memory_estimates(self) -> list[int]:
         """Tokens of the engine's memory that each of these is estimated to take."""
         if "" in self.tasks:
             return [self.summary.memory] * len(self.summary.items)
-        return [run.item.memory for run in self.generating]
+        return [run.item.memory for run in self.generating_runs]
--- a/gypsumshift/jobs/unitrunner.py
+++ b/gypsumshift/jobs/unitrunner.py
@@ -9,11 +9,12 @@
 from gypsumshift import logs
 from gypsumshift.clock import Clock
 from gypsumshift.jobs.claimtracker import Candidate, ClaimTracker
-from gypsumshift.jobs.committer import Committer, Finished
 from gypsumshift.jobs.itemrun import RETRY_PAUSE, ItemRun
 from gypsumshift.jobs.itemrunner import ItemRunner
 from gypsumshift.jobs.localengine import LocalEngine
-from gypsumshift.jobs.model import (
+from gypsumshift.jobs.pace import Pace
+from gypsumshift.jobs.partials import PartialStore, scan_until_answered
+from gypsumshift.jobs.records import (
     CLAIMS,
     RESULTS,
     UNITS,
@@ -26,10 +27,9 @@
     parse_row,
     to_row,
 )
-from gypsumshift.jobs.pace import Pace
-from gypsumshift.jobs.partials import Partials, read_rows
-from gypsumshift.jobs.returns import Returns
-from gypsumshift.jobs.unit import UnitRun
+from gypsumshift.jobs.resultwriter import PendingResult, ResultWriter
+from gypsumshift.jobs.unitreleaser import UnitReleaser
+from gypsumshift.jobs.unitrun import UnitRun
 from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.metrics import Metrics
 from gypsumshift.platforms import Row, RowStore, Write
@@ -88,13 +88,13 @@
         self.metrics = metrics
         self.changed = changed
         self.pace = Pace(clock)
-        self.committer = Committer(store, clock)
-        self.partials = Partials(store, own.session, clock)
+        self.result_writer = ResultWriter(store, clock)
+        self.partials = PartialStore(store, own.session, clock)
         self.units: dict[tuple[str, str], UnitRun] = {}
         self.item_runner = ItemRunner(
             local_engine, weights, forwarder.guard, store, clock, metrics, changed
         )
-        self.returns = Returns(store, tracker, self.partials, clock, changed)
+        self.releaser = UnitReleaser(store, tracker, self.partials, clock, changed)
 
     @property
     def load(self) -> int:
@@ -103,12 +103,14 @@
         Not those that wait for their scores: with them, places stood empty for half
         as long as they were used (items of 0.5 s, scores after 0.25 to 0.5 s).
         """
-        return sum(unit.load for unit in self.units.values())
+        return sum(unit.slots_used for unit in self.units.values())
 
     @property
     def sizes(self) -> tuple[int, ...]:
         """Tokens of the engine's memory that each of these is estimated to take."""
-        return tuple(size for unit in self.units.values() for size in unit.sizes)
+        return tuple(
+            size for unit in self.units.values() for size in unit.memory_estimates
+        )
 
     @property
     def scoring_count(self) -> int:
@@ -125,7 +127,7 @@
     def drop_if_taken_over(self, row: Row) -> None:
         """Let go of a unit that another agent holds by the store."""
         unit = self.units.get((row.part, row.key))
-        if unit is None or row.value is None or row.version <= unit.version:
+        if unit is None or row.value is None or row.version <= unit.claim_version:
             return
         claim = parse_row(row, Claim)
         if claim is not None and claim.session != self.own.session:
@@ -164,17 +166,21 @@
         partials: dict[str, Partial | None] = {}
         if taken_over:
             # First what this agent has itself: it may be stored before the rows come.
-            known = self.committer.items(unit.job.id)
-            rows = await read_rows(self.store, self.clock, RESULTS, unit.job.id)
+            known = self.result_writer.pending_items(unit.job.id)
+            rows = await scan_until_answered(
+                self.store, self.clock, RESULTS, unit.job.id
+            )
             known |= {row.key for row in rows}
             for item in items:
-                partials[item.id] = await self.partials.read(unit.job.id, item.id)
+                partials[item.id] = await self.partials.read_longest(
+                    unit.job.id, item.id
+                )
         due = [item for item in items if item.id not in known]
         for item in due:
             self.start_item(unit, item, partials.get(item.id))
         if not due:
             # The claim that says that a unit is done stands behind its results.
-            await self.committer.wait_for(unit.job.id, unit.summary.items)
+            await self.result_writer.wait_until_stored(unit.job.id, unit.summary.items)
         del unit.tasks[""]
         if not unit.tasks:
             await self.close_unit(unit)
@@ -219,7 +225,7 @@
         if self.units.get((unit.job.id, unit.key)) is unit:
             self.drop(unit)
             # After a pause, so that it does not come at once again.
-            self.returns.begin(unit, BROKEN_PAUSE)
+            self.releaser.start_release(unit, BROKEN_PAUSE)
 
     async def run_item(self, unit: UnitRun, run: ItemRun) -> None:
         """Generate, score and store one item."""
@@ -251,8 +257,10 @@
         unit.tasks.pop(run.item.id, None)
         unit.runs.pop(run.item.id, None)
         last = None if unit.tasks else self.finish(unit)
-        partial = self.partials.key(run) if run.saved_events else ""
-        self.committer.put(Finished(unit.job.id, unit.key, result, last, partial))
+        partial = self.partials.row_key(run) if run.saved_events else ""
+        self.result_writer.enqueue(
+            PendingResult(unit.job.id, unit.key, result, last, partial)
+        )
         self.changed()
 
     def finish(self, unit: UnitRun) -> Claim:
@@ -260,7 +268,7 @@
         done = attrs.evolve(self.own, done=True)
         self.units.pop((unit.job.id, unit.key), None)
         # Known here before the store tells it.
-        row = Row(CLAIMS, unit.key, unit.version, to_row(done), unit.job.id)
+        row = Row(CLAIMS, unit.key, unit.claim_version, to_row(done), unit.job.id)
         self.tracker.apply_claim_rows([row])
         return done
 
@@ -290,7 +298,7 @@
             reason=reason,
             items=list(unit.runs),
         )
-        return self.returns.begin(unit)
+        return self.releaser.start_release(unit)
 
     async def save_partials(self) -> None:
         """Save what long runs have generated."""
@@ -298,11 +306,11 @@
         for unit in self.units.values():
             runs.setdefault(unit.job.id, []).extend(unit.runs.values())
         for job, own in runs.items():
-            await self.partials.save(job, own)
+            await self.partials.save_runs(job, own)
 
     async def drain(self) -> None:
         """Give all units back, and wait until results are stored."""
         given = self.hand_over_all("this process stops")
         if given:
             await asyncio.wait(given)
-        await self.committer.drain()
+        await self.result_writer.drain()
--- a/gypsumshift/jobs/weights.py
+++ b/gypsumshift/jobs/weights.py
@@ -8,7 +8,7 @@
 from gypsumshift.jobs.claimtracker import ClaimTracker
 from gypsumshift.jobs.engine import EngineReport, WeightLoadOrder
 from gypsumshift.jobs.localengine import LocalEngine
-from gypsumshift.jobs.model import Job
+from gypsumshift.jobs.records import Job
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import Answered
 from gypsumshift.policy import DEFAULT, Policy
--- a/tests/crash_wires.py
+++ b/tests/crash_wires.py
@@ -14,7 +14,7 @@
 from gypsumshift.outcomes import Unavailable, Unknown
 from gypsumshift.platforms import WrappedStore
 from gypsumshift.server import Request
-from tests.jobs_world import NAMES
+from tests.job_builders import NAMES
 
 # Seconds on the way, in each direction.
 WAY = 0.0015
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -38,7 +38,7 @@
     Worker,
     work,
 )
-from tests.jobs_world import HOST, METRICS, NAMES
+from tests.job_builders import HOST, METRICS, NAMES
 from tests.own_time import LoopClock
 
 # Seconds until a request ends its server, until that is back, until gateways are told
--- a/tests/jobs_world.py
+++ b/tests/job_builders.py
@@ -8,21 +8,29 @@
 from gypsumshift import memory
 from gypsumshift.clock import SystemClock
 from gypsumshift.eventstream import StreamBroken
-from gypsumshift.jobs import Desk, EngineReport, Event, Item, Job, RewardCall, split
+from gypsumshift.jobs import (
+    EngineReport,
+    Event,
+    Item,
+    Job,
+    JobManager,
+    RewardCall,
+    split_into_units,
+)
 from gypsumshift.jobs.agent import Agent
 from gypsumshift.jobs.claimtracker import ClaimTracker
 from gypsumshift.jobs.engine import StreamRefused
 from gypsumshift.jobs.liveness import NO_PROBE, LivenessProbe
 from gypsumshift.jobs.localengine import AgentIdentity
-from gypsumshift.jobs.model import (
+from gypsumshift.jobs.peers import Peers
+from gypsumshift.jobs.records import (
     CLAIMS,
     JOB_KEY,
     JOBS,
     Claim,
-    summary,
+    summarize_unit,
     to_row,
 )
-from gypsumshift.jobs.peers import Peers
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import Answered
 from gypsumshift.platforms import Row
@@ -78,7 +86,7 @@
 
 def job(units, job_id="job", model=MODEL, oldest_version=1):
     """Return a batch job of units."""
-    summaries = tuple(summary(unit) for unit in units)
+    summaries = tuple(summarize_unit(unit) for unit in units)
     return Job(job_id, HOST, "/run/", model, 0, oldest_version, 0.0, summaries)
 
 
@@ -145,8 +153,8 @@
         self.gap = 0.0
         self.version = 1
         self.serves = True
-        self.hold = asyncio.Event()
-        self.hold.set()
+        self.may_finish = asyncio.Event()
+        self.may_finish.set()
         self.started = []
         self.running = set()
         self.break_at = {}
@@ -166,7 +174,7 @@
         try:
             for number in range(after + 1, self.length + 1):
                 if number == self.length:
-                    await self.hold.wait()
+                    await self.may_finish.wait()
                 if self.gap:
                     await asyncio.sleep(self.gap)
                 yield Event(number, f"{item.id}:{number}", self.version)
@@ -195,19 +203,19 @@
     def __init__(self):
         self.calls = []
         self.statuses = []
-        self.hold = asyncio.Event()
-        self.hold.set()
+        self.may_answer = asyncio.Event()
+        self.may_answer.set()
         chance = random.Random(1)
         self.guard = Guard(memory.MemoryTables(), SystemClock(), chance, METRICS)
 
     async def forward(self, call):
         self.calls.append(call)
-        await self.hold.wait()
+        await self.may_answer.wait()
         status = self.statuses.pop(0) if self.statuses else 200
         return Answered(status, ((NAMES.signature, f"signed-{call.id}"),))
 
 
-class HeldAnswers(memory.MemoryTables):
+class HeldAnswerTables(memory.MemoryTables):
     """Tables that carry writes out at once, and answer some of them when told to.
 
     Attributes
@@ -218,19 +226,19 @@
 
     def __init__(self):
         super().__init__()
-        self.held = {}
+        self.held_tables = {}
 
-    def hold(self, table):
-        self.held[table] = asyncio.Event()
+    def hold_answers(self, table):
+        self.held_tables[table] = asyncio.Event()
 
-    def answer(self, table):
-        self.held.pop(table).set()
+    def release_answers(self, table):
+        self.held_tables.pop(table).set()
 
     async def commit(self, writes):
         outcome = await super().commit(writes)
         for table in {write.table for write in writes}:
-            if table in self.held:
-                await self.held[table].wait()
+            if table in self.held_tables:
+                await self.held_tables[table].wait()
         return outcome
 
 
@@ -247,16 +255,16 @@
 
 
 @attrs.define
-class World:
+class JobCluster:
     """A store, a desk and agents over it."""
 
     store: memory.MemoryTables = attrs.field(factory=memory.MemoryTables)
     tasks: list = attrs.field(factory=list)
     agents: dict = attrs.field(factory=dict)
-    desk: Desk = None
+    job_manager: JobManager = None
 
     def __attrs_post_init__(self):
-        self.desk = Desk(self.store, SystemClock(), METRICS)
+        self.job_manager = JobManager(self.store, SystemClock(), METRICS)
 
     def agent(
         self,
@@ -295,10 +303,10 @@
             attrs.evolve(item, hint=hints.get(item.id, item.hint))
             for item in items(step=job_id, body=body, **shape)
         ]
-        units = split(found)
+        units = split_into_units(found)
         value = job(units, job_id)
         loop = asyncio.get_running_loop()
-        await self.desk.submit(value, units, loop.time() + 5)
+        await self.job_manager.submit_job(value, units, loop.time() + 5)
         return units
 
     async def results(self, job_id="job", count=None):
@@ -309,7 +317,7 @@
         """
         found = []
         while True:
-            page = await self.desk.read(job_id, len(found), 0)
+            page = await self.job_manager.read_results(job_id, len(found), 0)
             found += page.results
             if len(found) >= (count or page.total):
                 return found
@@ -317,7 +325,7 @@
 
     def follow(self):
         """Have the desk follow the store's changes, as a gateway does."""
-        self.tasks.append(asyncio.create_task(run_all(self.desk.watches)))
+        self.tasks.append(asyncio.create_task(run_all(self.job_manager.watches)))
 
     async def close(self):
         for task in self.tasks:
@@ -329,7 +337,7 @@
     return ClaimTracker(session, clock, random.Random(1), Peers(session, clock))
 
 
-def entry(**changes):
+def engine_table_entry(**changes):
     """Return what an engine writes of itself into the platform's table."""
     fields = {
         "service": SERVICE,
--- a/tests/late_world.py
+++ b/tests/late_answer_builders.py
@@ -2,28 +2,28 @@
 
 import asyncio
 
-from gypsumshift.jobs.model import CLAIMS
+from gypsumshift.jobs.records import CLAIMS
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import Conflict, Unknown
-from tests.jobs_world import FakeEngine, HeldAnswers
+from tests.job_builders import FakeEngine, HeldAnswerTables
 
 
-def play(scenario):
+def run_scenario(scenario):
     asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
-async def until(holds):
+async def wait_until(holds):
     while not holds():
         await asyncio.sleep(0.005)
 
 
-async def turns(count=500):
+async def run_loop_turns(count=500):
     """Let as many turns of the loop pass as a run of an item takes, and more."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-class Stuck(FakeEngine):
+class BlockingEngine(FakeEngine):
     """Engine at which some items wait for an event of their own before they begin."""
 
     def __init__(self, *stuck):
@@ -37,7 +37,7 @@
             yield event
 
 
-class Broken(FakeEngine):
+class FailingEngine(FakeEngine):
     """Engine whose client meets an error of the program."""
 
     async def stream(self, server, item, host, after, urgency):
@@ -46,7 +46,7 @@
         yield
 
 
-class LosesReturns(HeldAnswers):
+class LostReleaseTables(HeldAnswerTables):
     """Tables that lose the answer to the first unit given back, and tell no change."""
 
     def __init__(self):
@@ -67,7 +67,7 @@
         return outcome
 
 
-class LosesClaims(HeldAnswers):
+class LostClaimTables(HeldAnswerTables):
     """Tables that carry claims out, and say nothing of them until told to."""
 
     def __init__(self):
@@ -90,7 +90,7 @@
         return outcome
 
 
-class TellsNoClaims(HeldAnswers):
+class NoClaimChangesTables(HeldAnswerTables):
     """Tables whose changes tell nothing of claims."""
 
     async def changes(self, table, after, wait):
@@ -99,7 +99,7 @@
         return await super().changes(table, after, wait)
 
 
-class Refuses(MemoryTables):
+class ClaimRefusingTables(MemoryTables):
     """Tables that refuse claims and have none."""
 
     def __init__(self):
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -6,9 +6,9 @@
 
 from gypsumshift.jobs import ResultState
 from gypsumshift.jobs.claimtracker import Candidate
-from gypsumshift.jobs.model import AGENTS, END_KEY, JOBS, PARTIALS, RESULTS
+from gypsumshift.jobs.records import AGENTS, END_KEY, JOBS, PARTIALS, RESULTS
 from gypsumshift.platforms import Row, Write
-from tests.jobs_world import MODEL, FakeEngine, World, server
+from tests.job_builders import MODEL, FakeEngine, JobCluster, server
 from tests.system import until
 
 
@@ -17,7 +17,7 @@
 
     def run():
         async def play():
-            world = World()
+            world = JobCluster()
             try:
                 async with asyncio.timeout(20):
                     await test(world)
@@ -57,7 +57,7 @@
 async def busy_agent(world):
     """Start an agent with two unfinished items; return it and its engine."""
     engine = FakeEngine()
-    engine.hold.clear()
+    engine.may_finish.clear()
     agent = world.agent("a", engine)
     await world.submit(groups=1)
     await until(lambda: len(engine.running) == 2)
@@ -68,19 +68,19 @@
 async def test_a_unit_claimed_twice_runs_once_and_stops_with_its_job(world):
     agent, engine = await busy_agent(world)
     ((job_id, key), unit) = next(iter(agent.runner.units.items()))
-    again = Candidate(unit.job, unit.job.units[0], unit.version, True)
-    agent.runner.start_unit(again, unit.version)
+    again = Candidate(unit.job, unit.job.units[0], unit.claim_version, True)
+    agent.runner.start_unit(again, unit.claim_version)
     await world.store.commit([Write(JOBS, END_KEY, {"ended": True}, part=job_id)])
     await until(lambda: not engine.running)
     assert len(engine.started) == 2, "the second start ran the items again"
-    agent.runner.start_unit(again, unit.version)
+    agent.runner.start_unit(again, unit.claim_version)
     assert not agent.runner.units, "a unit of an ended job was started"
 
 
 @scenario
 async def test_an_engine_that_falls_silent_loses_its_units_with_what_they_have(world):
     engine = FakeEngine()
-    engine.hold.clear()
+    engine.may_finish.clear()
     world.agent("a", engine)
     await world.submit(groups=1)
     await until(lambda: len(engine.running) == 2)
@@ -136,7 +136,9 @@
     )
     await asyncio.sleep(0)
     await until(
-        lambda: not agent.runner.committer.writers and agent.runner.forwarder.calls
+        lambda: (
+            not agent.runner.result_writer.writer_tasks and agent.runner.forwarder.calls
+        )
     )
     (result,) = await world.results()
     assert result.text == "first"
@@ -187,11 +189,11 @@
     """Four places: with scores in them only four of six items began."""
     engine = FakeEngine()
     agent = world.agent("a", engine)
-    agent.runner.forwarder.hold.clear()
+    agent.runner.forwarder.may_answer.clear()
     await world.submit(groups=3)
     await until(lambda: len(engine.started) == 6)
     assert agent.runner.load == 0
-    agent.runner.forwarder.hold.set()
+    agent.runner.forwarder.may_answer.set()
     await world.results()
     assert agent.runner.scoring_count == 0
 
@@ -200,12 +202,12 @@
 async def test_a_slow_application_stops_new_work_in_the_end(world):
     engine = FakeEngine()
     agent = world.agent("a", engine)
-    agent.runner.forwarder.hold.clear()
+    agent.runner.forwarder.may_answer.clear()
     await world.submit(groups=7)
     await until(lambda: agent.runner.scoring_count == 8)
     await agent.claim_units()
     assert len(engine.started) == 8, "two rounds of four places wait for scores"
-    agent.runner.forwarder.hold.set()
+    agent.runner.forwarder.may_answer.set()
     await world.results()
 
 
@@ -216,7 +218,7 @@
 async def saved_run(world):
     """Save an unfinished item; return agent, engine, and the events saved."""
     engine = FakeEngine(length=30)
-    engine.hold.clear()
+    engine.may_finish.clear()
     agent = world.agent("a", engine)
     await world.submit(groups=1, size=1)
     await until(lambda: any(run.needs_saving for run in runs_of(agent)))
@@ -240,7 +242,7 @@
 @scenario
 async def test_what_was_saved_goes_with_the_result(world):
     _, engine, _ = await saved_run(world)
-    engine.hold.set()
+    engine.may_finish.set()
     await world.results()
     assert not await world.store.scan(PARTIALS, "", "job")
 
@@ -248,7 +250,7 @@
 @scenario
 async def test_a_text_that_no_row_can_hold_is_given_back_without_it(world):
     engine = FakeEngine(length=3)
-    engine.hold.clear()
+    engine.may_finish.clear()
     agent = world.agent("a", engine)
     await world.submit(groups=1, size=1)
     await until(lambda: engine.running)
@@ -263,7 +265,7 @@
     forward = agent.runner.forwarder.forward
     agent.runner.forwarder.forward = None
     await world.submit(groups=1, size=1)
-    await until(lambda: agent.runner.returns.tasks)
+    await until(lambda: agent.runner.releaser.tasks)
     agent.runner.forwarder.forward = forward
     (result,) = await world.results()
     assert result.state is ResultState.WHOLE
--- a/tests/test_claimtracker.py
+++ b/tests/test_claimtracker.py
@@ -1,15 +1,15 @@
 """Which unit an agent claims, and when a claim of another is free."""
 
-from gypsumshift.jobs import split
+from gypsumshift.jobs import split_into_units
 from gypsumshift.jobs.capacity import FreeCapacity
 from gypsumshift.jobs.claimtracker import LONG_UNIT_WAIT
 from gypsumshift.jobs.heartbeatwriter import HEARTBEAT_PERIOD
-from gypsumshift.jobs.model import AGENTS, END_KEY, JOB_KEY, JOBS, Item
 from gypsumshift.jobs.peers import HEARTBEAT_TIMEOUT, MAX_TABLE_AGE
-from gypsumshift.jobs.schedule import begin_order
+from gypsumshift.jobs.records import AGENTS, END_KEY, JOB_KEY, JOBS, Item
+from gypsumshift.jobs.schedule import order_units
 from gypsumshift.platforms import Row
 from tests.builders import ManualClock
-from tests.jobs_world import MODEL, claim_row, items, job, job_row, make_tracker
+from tests.job_builders import MODEL, claim_row, items, job, job_row, make_tracker
 
 
 def pulse(agent, session, beat, version):
@@ -19,7 +19,7 @@
 def make_open_job(groups=2):
     clock = ManualClock()
     own = make_tracker(clock=clock)
-    value = job(split(items(groups)))
+    value = job(split_into_units(items(groups)))
     own.apply_job_rows([job_row(value)])
     return own, clock, value
 
@@ -156,7 +156,9 @@
 
 def test_an_engine_with_old_weights_claims_nothing():
     own, _, _ = make_open_job()
-    own.apply_job_rows([job_row(job(split(items(step="x")), "late", oldest_version=5))])
+    own.apply_job_rows(
+        [job_row(job(split_into_units(items(step="x")), "late", oldest_version=5))]
+    )
     assert choose(own, version=0) is None
     assert choose(own, version=4).job.id == "job"
 
@@ -166,13 +168,13 @@
     own = make_tracker(clock=clock)
     own.peers.apply_rows([pulse("other", "s", 1, 2)])
     own.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
-    own.apply_job_rows([job_row(job(split(items(1))))])
+    own.apply_job_rows([job_row(job(split_into_units(items(1))))])
     assert choose(own) is None
 
 
 def test_groups_of_an_earlier_step_are_begun_first():
-    units = split(items(12))
-    again = begin_order(job(units), {"g11"})
+    units = split_into_units(items(12))
+    again = order_units(job(units), {"g11"})
     assert again[0].group == "g11"
 
 
@@ -180,7 +182,7 @@
     own, _, value = make_open_job()
     removed = Row(JOBS, JOB_KEY, 9, None, value.id)
     own.apply_job_rows([removed])
-    again = job(split(items(2)), "later")
+    again = job(split_into_units(items(2)), "later")
     own.apply_job_rows([job_row(again)])
     assert own.known_groups() == {"g0", "g1"}
     own.apply_job_rows([Row(JOBS, JOB_KEY, 10, None, "later")])
@@ -196,7 +198,7 @@
         for n in range(2)
     ]
     own = make_tracker(clock=ManualClock())
-    own.apply_job_rows([job_row(job(split(step)))])
+    own.apply_job_rows([job_row(job(split_into_units(step)))])
     full = FreeCapacity(4, 22_000, (8000, 8000))
     taken = {
         own.choose_candidate([MODEL], {MODEL: 1}, full).unit.hint for _ in range(20)
@@ -212,7 +214,7 @@
         Item(f"i{n}", "/run/", {}, b"", f"g{n}", 100 if n == 4 else 10 + n)
         for n in range(10)
     ]
-    own.apply_job_rows([job_row(job(split(found)))])
+    own.apply_job_rows([job_row(job(split_into_units(found)))])
     return own, clock
 
 
--- a/tests/test_ended.py
+++ b/tests/test_ended.py
@@ -11,7 +11,7 @@
 from gypsumshift.serving.calls import Call, Failed
 from gypsumshift.serving.pool import Pool
 from gypsumshift.serving.sender import Sender
-from tests.jobs_world import HOST, METRICS, NAMES, routes
+from tests.job_builders import HOST, METRICS, NAMES, routes
 
 ANSWER = (
     b"HTTP/1.1 200 OK\r\nrequest-id: %s\r\nsignature: s\r\ncontent-length: 2\r\n\r\nok"
--- a/tests/test_fatal_items.py
+++ b/tests/test_fatal_items.py
@@ -21,7 +21,7 @@
 from gypsumshift.serving.quarantine import ENDED_PAUSE, MOST_ENDS, TRIAL_PAUSES
 from gypsumshift.serving.trialclaims import CRASHES
 from gypsumshift.watch import run_all
-from tests import jobs_world as jw
+from tests import job_builders as jw
 from tests import own_time
 
 # Seconds until an item ends its engine, and until the engine is back.
@@ -89,13 +89,13 @@
         return datetime.timedelta(seconds=seconds)
 
 
-class FragileWorld(jw.World):
+class FragileWorld(jw.JobCluster):
     """Agents beside engines that end, which tell each other of it."""
 
     def __init__(self, names="abcde", forwarder=jw.FakeForwarder, retention=None):
         super().__init__(store=Tables())
         self.clock = own_time.LoopClock()
-        self.desk.clock = self.clock
+        self.job_manager.clock = self.clock
         self.fatal = set()
         self.ended = []
         self.engines = {}
@@ -117,7 +117,7 @@
 
     async def listed(self, job="job"):
         """Return the results that are listed."""
-        return (await self.desk.read(job, 0, 0)).results
+        return (await self.job_manager.read_results(job, 0, 0)).results
 
 
 def play(scenario, **options):
@@ -221,7 +221,7 @@
         world.fatal = {POISON}
         await world.submit(groups=1, size=1)
         await asyncio.sleep(20)
-        await world.desk.end("job", world.clock.monotonic() + 5)
+        await world.job_manager.end_job("job", world.clock.monotonic() + 5)
         await asyncio.sleep(1)
         assert not any(agent.runner.units for agent in world.agents.values())
 
--- a/tests/test_fingerprints.py
+++ b/tests/test_fingerprints.py
@@ -2,7 +2,7 @@
 
 from gypsumshift.serving import Call
 from gypsumshift.serving.fingerprints import fingerprint
-from tests.jobs_world import HOST, routes
+from tests.job_builders import HOST, routes
 
 USUAL = {
     "method": "POST",
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -8,7 +8,7 @@
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import Committed, Conflict, Unavailable, Unknown
 from gypsumshift.platforms import ABSENT, Write
-from tests.jobs_world import FakeEngine, World
+from tests.job_builders import FakeEngine, JobCluster
 
 
 class Path:
@@ -110,11 +110,11 @@
 def test_a_step_ends_while_half_of_the_answers_are_lost():
     async def scenario():
         store, _ = hedged(timeout=1.5)
-        world = World()
+        world = JobCluster()
         engine = FakeEngine()
         for name in "ab":
             world.agent(name, engine, store)
-        world.desk.store = store
+        world.job_manager.store = store
         await world.submit(groups=6, size=2)
         store.inner.share = 0.5
         results = await world.results()
--- a/tests/test_desk.py
+++ b/tests/test_jobmanager.py
@@ -7,10 +7,10 @@
 import attrs
 import pytest
 
-from gypsumshift.jobs import Desk, Result, ResultState, split
-from gypsumshift.jobs.committer import TEXT_IN_ROW, Committer, Finished
-from gypsumshift.jobs.desk import KEEP_ENDED, Page
-from gypsumshift.jobs.model import (
+from gypsumshift.jobs import JobManager, Result, ResultState, split_into_units
+from gypsumshift.jobs.jobmanager import ENDED_JOB_RETENTION_SECONDS, ResultPage
+from gypsumshift.jobs.partials import PartialStore
+from gypsumshift.jobs.records import (
     END_KEY,
     JOB_KEY,
     JOBS,
@@ -23,8 +23,12 @@
     parse_rows,
     to_row,
 )
-from gypsumshift.jobs.partials import Partials
-from gypsumshift.jobs.schedule import RepeatedItem
+from gypsumshift.jobs.resultwriter import (
+    MAX_ROW_TEXT_CHARS,
+    PendingResult,
+    ResultWriter,
+)
+from gypsumshift.jobs.schedule import DuplicateItemIdError
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import (
     Committed,
@@ -36,17 +40,17 @@
 )
 from gypsumshift.platforms import Row, Write
 from tests.builders import FaultyTables, ManualClock
-from tests.jobs_world import METRICS, items, job
+from tests.job_builders import METRICS, items, job
 
 
 def make_desk(store=None):
     clock = ManualClock()
-    return Desk(store or MemoryTables(), clock, METRICS), clock
+    return JobManager(store or MemoryTables(), clock, METRICS), clock
 
 
 async def submit(desk, clock, groups=2):
-    units = split(items(groups))
-    return await desk.submit(job(units), units, clock.monotonic() + 2)
+    units = split_into_units(items(groups))
+    return await desk.submit_job(job(units), units, clock.monotonic() + 2)
 
 
 def test_a_job_submitted_twice_at_two_desks_is_one_job():
@@ -57,7 +61,7 @@
         assert isinstance(await submit(other, clock), Committed)
         rows = await one.store.scan("jobs", "", "job")
         assert len(rows) == 1
-        assert (await other.read("job", 0, 0)).total == 4
+        assert (await other.read_results("job", 0, 0)).total == 4
 
     asyncio.run(play())
 
@@ -87,14 +91,14 @@
     found = items(2)
     again = attrs.evolve(found[0], group="other")
     for repeated in ([*found, again], [again, *found], [found[0], again]):
-        with pytest.raises(RepeatedItem, match=found[0].id):
-            split(repeated)
-    assert len(split(found)) == 2
+        with pytest.raises(DuplicateItemIdError, match=found[0].id):
+            split_into_units(repeated)
+    assert len(split_into_units(found)) == 2
 
 
 def large_job(body):
     """Return the units of a job of three transactions, whose items have a body."""
-    return split([attrs.evolve(item, body=body) for item in items(200)])
+    return split_into_units([attrs.evolve(item, body=body) for item in items(200)])
 
 
 def unit_bodies(store):
@@ -123,10 +127,12 @@
         other, _ = make_desk(one.store)
         first, second = large_job(b"first"), large_job(b"second")
         deadline = clock.monotonic() + 2
-        assert isinstance(await one.submit(job(first), first, deadline), Committed)
-        assert isinstance(await other.submit(job(second), second, deadline), Committed)
+        assert isinstance(await one.submit_job(job(first), first, deadline), Committed)
+        assert isinstance(
+            await other.submit_job(job(second), second, deadline), Committed
+        )
         assert unit_bodies(one.store) == {b"first": 200}
-        for late in other.batches(job(second), second):
+        for late in other.job_transactions(job(second), second):
             assert isinstance(await one.store.commit(late), Conflict)
 
     asyncio.run(play())
@@ -139,11 +145,13 @@
         one, clock = make_desk()
         other, _ = make_desk(one.store)
         first, second = large_job(b"first"), large_job(body)
-        for batch in one.batches(job(first), first)[:-1]:
+        for batch in one.job_transactions(job(first), first)[:-1]:
             assert isinstance(await one.store.commit(batch), Committed)
         deadline = clock.monotonic() + 2
-        assert isinstance(await other.submit(job(second), second, deadline), Committed)
-        assert isinstance(await one.submit(job(first), first, deadline), Committed)
+        assert isinstance(
+            await other.submit_job(job(second), second, deadline), Committed
+        )
+        assert isinstance(await one.submit_job(job(first), first, deadline), Committed)
         assert unit_bodies(one.store) == {body: 200}
 
     asyncio.run(play(b"first"))
@@ -156,8 +164,8 @@
         desk, clock = make_desk(store)
         await submit(desk, clock)
         store.down = True
-        assert isinstance(await desk.read("job", 0, 0), Unavailable)
-        assert isinstance(await desk.read("other", 0, 0), Unavailable)
+        assert isinstance(await desk.read_results("job", 0, 0), Unavailable)
+        assert isinstance(await desk.read_results("other", 0, 0), Unavailable)
 
     asyncio.run(play())
 
@@ -166,17 +174,17 @@
     async def play():
         desk, clock = make_desk()
         await submit(desk, clock, groups=1)
-        text = "0123456789" * (TEXT_IN_ROW // 4)
-        committer = Committer(desk.store, clock)
+        text = "0123456789" * (MAX_ROW_TEXT_CHARS // 4)
+        committer = ResultWriter(desk.store, clock)
         for number in (0, 1):
             result = Result(f"s-0-{number}", ResultState.WHOLE, text, (1,), "x")
             last = Claim("a", "s", done=True) if number else None
-            committer.put(Finished("job", "00000", result, last))
+            committer.enqueue(PendingResult("job", "00000", result, last))
         await committer.drain()
-        page = await desk.read("job", 0, 0)
+        page = await desk.read_results("job", 0, 0)
         assert [r.text for r in page.results] == [text, text]
         sizes = [len(str(row.value)) for row in desk.store.rows.values()]
-        assert max(sizes) < 2 * TEXT_IN_ROW
+        assert max(sizes) < 2 * MAX_ROW_TEXT_CHARS
 
     asyncio.run(play())
 
@@ -197,16 +205,16 @@
         found = [
             attrs.evolve(item, id=n) for item, n in zip(items(), names, strict=True)
         ]
-        units = split(found)
-        await desk.submit(job(units), units, clock.monotonic() + 2)
-        committer = Committer(desk.store, clock)
+        units = split_into_units(found)
+        await desk.submit_job(job(units), units, clock.monotonic() + 2)
+        committer = ResultWriter(desk.store, clock)
         for name in names:
-            text = f"{name} " * (TEXT_IN_ROW // 2)
+            text = f"{name} " * (MAX_ROW_TEXT_CHARS // 2)
             result = Result(name, ResultState.WHOLE, text, (1,), "x")
-            committer.put(Finished("job", "00000", result))
+            committer.enqueue(PendingResult("job", "00000", result))
         await committer.drain()
-        page = await desk.read("job", 0, 0)
-        assert isinstance(page, Page), page
+        page = await desk.read_results("job", 0, 0)
+        assert isinstance(page, ResultPage), page
         assert [r.item for r in page.results] == names
         for result in page.results:
             assert set(result.text.split()) == {result.item}
@@ -233,10 +241,10 @@
             events = tuple(f"{item}:{n}" for n in range(count))
             value = to_row(Partial(item, events, (1,)))
             await store.commit([Write(PARTIALS, key, value, part="job")])
-        partials = Partials(store, "other", clock)
-        assert (await partials.read("job", "x")).item == "x"
-        assert (await partials.read("job", "x/y")).item == "x/y"
-        assert await partials.read("job", "z") is None
+        partials = PartialStore(store, "other", clock)
+        assert (await partials.read_longest("job", "x")).item == "x"
+        assert (await partials.read_longest("job", "x/y")).item == "x/y"
+        assert await partials.read_longest("job", "z") is None
 
     asyncio.run(play())
 
@@ -245,14 +253,14 @@
     async def play():
         desk, clock = make_desk()
         await submit(desk, clock)
-        await desk.end("job", clock.monotonic() + 1)
+        await desk.end_job("job", clock.monotonic() + 1)
         chance = random.Random(0)
         for _ in range(100):
-            await desk.sweep(chance)
+            await desk.remove_expired_jobs(chance)
         assert desk.store.rows
-        clock.advance(KEEP_ENDED + 1)
+        clock.advance(ENDED_JOB_RETENTION_SECONDS + 1)
         for _ in range(100):
-            await desk.sweep(chance)
+            await desk.remove_expired_jobs(chance)
         assert not desk.store.rows and not desk.jobs
 
     asyncio.run(play())
@@ -285,15 +293,15 @@
     async def play(self, call):
         """Return what becomes of a call at that desk whose read is answered last."""
         for name in ("job", "kept"):
-            units = split(items(step=name))
+            units = split_into_units(items(step=name))
             deadline = self.clock.monotonic() + 2
-            await self.other.submit(job(units, name), units, deadline)
+            await self.other.submit_job(job(units, name), units, deadline)
         answered = self.store.held[JOBS] = asyncio.Event()
         calling = asyncio.create_task(call)
         async with asyncio.timeout(5):
             await self.store.asked.wait()
-        await self.other.remove("job")
-        self.desk.take_jobs([Row(JOBS, JOB_KEY, self.store.version, None, "job")])
+        await self.other.remove_job("job")
+        self.desk.apply_job_rows([Row(JOBS, JOB_KEY, self.store.version, None, "job")])
         del self.store.held[JOBS]
         answered.set()
         return await calling
@@ -315,8 +323,8 @@
 
     async def play():
         removal = Removal()
-        await removal.play(removal.desk.read("job", 0, 0))
-        assert not removal.desk.jobs and not removal.desk.logs
+        await removal.play(removal.desk.read_results("job", 0, 0))
+        assert not removal.desk.jobs and not removal.desk.result_logs
         assert isinstance(await submit(removal.desk, removal.clock), Committed)
         assert (JOBS, "job", JOB_KEY) in removal.store.rows
 
@@ -335,7 +343,7 @@
     async def play():
         removal = Removal()
         deadline = removal.clock.monotonic() + 1
-        outcome = await removal.play(removal.desk.end("job", deadline))
+        outcome = await removal.play(removal.desk.end_job("job", deadline))
         assert isinstance(outcome, Missing)
         assert (JOBS, "job", END_KEY) not in removal.store.rows
 
@@ -347,7 +355,7 @@
 
     async def play():
         removal = Removal()
-        page = await removal.play(removal.desk.read("kept", 0, 0))
+        page = await removal.play(removal.desk.read_results("kept", 0, 0))
         assert page.total == 4 and set(removal.desk.jobs) == {"kept"}
 
     asyncio.run(play())
@@ -356,8 +364,8 @@
 def test_nothing_is_held_of_a_job_whose_rows_were_removed():
     desk, _ = make_desk()
     result = to_row(Result("i", ResultState.WHOLE))
-    desk.take_results([Row(RESULTS, "i", 1, result, "job")])
-    desk.take_jobs([Row(JOBS, JOB_KEY, 2, None, "job")])
+    desk.apply_result_rows([Row(RESULTS, "i", 1, result, "job")])
+    desk.apply_job_rows([Row(JOBS, JOB_KEY, 2, None, "job")])
     # Another watch tells it later.
-    desk.take_results([Row(RESULTS, "i", 2, None, "job")])
-    assert not desk.logs
+    desk.apply_result_rows([Row(RESULTS, "i", 2, None, "job")])
+    assert not desk.result_logs
--- a/tests/test_desk_machine.py
+++ b/tests/test_jobmanager_machine.py
@@ -5,13 +5,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from gypsumshift.jobs import Desk, Result, ResultState, Unit, split
-from gypsumshift.jobs import desk as desk_module
-from gypsumshift.jobs.committer import Finished, result_writes
-from gypsumshift.jobs.model import UNITS, parse_rows
+from gypsumshift.jobs import JobManager, Result, ResultState, Unit, split_into_units
+from gypsumshift.jobs import jobmanager as desk_module
+from gypsumshift.jobs.records import UNITS, parse_rows
+from gypsumshift.jobs.resultwriter import PendingResult, result_writes
 from gypsumshift.outcomes import Committed, NotRun, Unavailable
 from tests.builders import FaultyTables, ManualClock
-from tests.jobs_world import METRICS, items, job
+from tests.job_builders import METRICS, items, job
 
 JOBS = ["a", "b"]
 DESKS = st.integers(0, 1)
@@ -24,7 +24,7 @@
         super().__init__()
         self.store = FaultyTables()
         self.clock = ManualClock()
-        self.desks = [Desk(self.store, self.clock, METRICS) for _ in range(2)]
+        self.desks = [JobManager(self.store, self.clock, METRICS) for _ in range(2)]
         self.accepted = set()
         self.refused_always = set(JOBS)
         self.read_before = {}
@@ -42,9 +42,11 @@
 
     @rule(desk=DESKS, name=st.sampled_from(JOBS))
     def submit(self, desk, name):
-        units = split(items(2, step=name, body=b"body"))
+        units = split_into_units(items(2, step=name, body=b"body"))
         deadline = self.clock.monotonic() + 1
-        outcome = self.do(self.desks[desk].submit(job(units, name), units, deadline))
+        outcome = self.do(
+            self.desks[desk].submit_job(job(units, name), units, deadline)
+        )
         if isinstance(outcome, Committed):
             self.accepted.add(name)
         if not isinstance(outcome, NotRun):
@@ -56,7 +58,7 @@
         item = f"{name}-{number // 2}-{number % 2}"
         result = Result(item, ResultState.WHOLE, text, (1,), "score")
         self.store_answers()
-        finished = Finished(name, f"{number // 2:05d}", result)
+        finished = PendingResult(name, f"{number // 2:05d}", result)
         self.do(self.store.commit(result_writes(finished)))
 
     def store_answers(self):
@@ -71,7 +73,7 @@
 
     @rule(desk=DESKS, name=st.sampled_from(JOBS), after=st.integers(0, 4))
     def read(self, desk, name, after):
-        page = self.do(self.desks[desk].read(name, after, 0))
+        page = self.do(self.desks[desk].read_results(name, after, 0))
         if isinstance(page, Unavailable):
             assert self.store.down
             return
@@ -84,7 +86,7 @@
 
     @rule(desk=DESKS, name=st.sampled_from(JOBS))
     def end(self, desk, name):
-        self.do(self.desks[desk].end(name, self.clock.monotonic() + 1))
+        self.do(self.desks[desk].end_job(name, self.clock.monotonic() + 1))
 
     @invariant()
     def accepted_jobs_are_whole(self):
@@ -108,18 +110,20 @@
 
     def __init__(self):
         super().__init__()
-        self.writes_at_once = desk_module.WRITES_AT_ONCE
-        desk_module.WRITES_AT_ONCE = 1
+        self.writes_at_once = desk_module.MAX_TRANSACTION_ROWS
+        desk_module.MAX_TRANSACTION_ROWS = 1
         self.units_before = {}
 
     def teardown(self):
-        desk_module.WRITES_AT_ONCE = self.writes_at_once
+        desk_module.MAX_TRANSACTION_ROWS = self.writes_at_once
 
     @rule(desk=DESKS, name=st.sampled_from(JOBS), body=st.sampled_from([b"x", b"y"]))
     def submit_another_body(self, desk, name, body):
-        units = split(items(2, step=name, body=body))
+        units = split_into_units(items(2, step=name, body=body))
         deadline = self.clock.monotonic() + 1
-        outcome = self.do(self.desks[desk].submit(job(units, name), units, deadline))
+        outcome = self.do(
+            self.desks[desk].submit_job(job(units, name), units, deadline)
+        )
         if isinstance(outcome, Committed):
             self.accepted.add(name)
         if not isinstance(outcome, NotRun):
--- a/tests/test_late_answers.py
+++ b/tests/test_late_answers.py
@@ -24,21 +24,26 @@
 import pytest
 
 from gypsumshift.jobs import Result, ResultState
-from gypsumshift.jobs.committer import Committer, Finished
-from gypsumshift.jobs.model import CLAIMS, RESULTS, Claim, to_row
+from gypsumshift.jobs.records import CLAIMS, RESULTS, Claim, to_row
 from gypsumshift.jobs.resultlog import ResultLog
+from gypsumshift.jobs.resultwriter import PendingResult, ResultWriter
 from gypsumshift.memory import MemoryTables
 from gypsumshift.platforms import ABSENT, Row, Write
-from tests.jobs_world import FakeEngine, HeldAnswers, World
-from tests.late_world import Stuck, play, turns, until
+from tests.job_builders import FakeEngine, HeldAnswerTables, JobCluster
+from tests.late_answer_builders import (
+    BlockingEngine,
+    run_loop_turns,
+    run_scenario,
+    wait_until,
+)
 
 
 class Slow:
     """A step of four units, of which the last two are claimed by late answers."""
 
     def __init__(self):
-        self.store = HeldAnswers()
-        self.world = World(store=self.store)
+        self.store = HeldAnswerTables()
+        self.world = JobCluster(store=self.store)
         self.engine = FakeEngine()
         self.agent = self.world.agent(engine=self.engine)
 
@@ -49,23 +54,23 @@
     @property
     def waiting(self):
         """Results that the store has not answered."""
-        return sum(map(len, self.runner.committer.waiting.values()))
+        return sum(map(len, self.runner.result_writer.pending.values()))
 
     async def play(self):
         """Play the step until every answer to a claim has come."""
-        self.engine.hold.clear()
+        self.engine.may_finish.clear()
         await self.world.submit(groups=4, size=2)
-        await until(lambda: len(self.engine.running) == 4)
-        await until(lambda: not self.agent.tracker.pending_claims)
-        self.store.hold(CLAIMS)
-        self.store.hold(RESULTS)
-        self.engine.hold.set()
-        await until(lambda: self.waiting == 8)
-        self.store.answer(CLAIMS)
-        await until(
+        await wait_until(lambda: len(self.engine.running) == 4)
+        await wait_until(lambda: not self.agent.tracker.pending_claims)
+        self.store.hold_answers(CLAIMS)
+        self.store.hold_answers(RESULTS)
+        self.engine.may_finish.set()
+        await wait_until(lambda: self.waiting == 8)
+        self.store.release_answers(CLAIMS)
+        await wait_until(
             lambda: not self.agent.tracker.pending_claims and not self.runner.units
         )
-        self.store.answer(RESULTS)
+        self.store.release_answers(RESULTS)
 
 
 def test_a_late_answer_starts_no_unit_that_is_done():
@@ -76,7 +81,7 @@
         assert started == sorted(set(started)), "an item ran twice at one agent"
         await slow.world.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_each_item_stands_at_one_position():
@@ -84,14 +89,14 @@
         slow = Slow()
         slow.world.follow()
         await slow.play()
-        await until(lambda: not slow.waiting)
+        await wait_until(lambda: not slow.waiting)
         results = await slow.world.results()
         items = [result.item for result in results]
         assert sorted(items) == sorted(set(items)), "an item stands twice"
         assert len(items) == 8
         await slow.world.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_two_results_of_an_item_are_never_in_one_transaction():
@@ -107,17 +112,17 @@
 
     async def scenario():
         store = Watched()
-        committer = Committer(store, World().desk.clock)
+        committer = ResultWriter(store, JobCluster().job_manager.clock)
         for text in ("one", "two"):
             result = Result("i", ResultState.WHOLE, text, (1,), "score")
-            committer.put(Finished("job", "unit", result))
+            committer.enqueue(PendingResult("job", "unit", result))
         await committer.drain()
         for places in store.transactions:
             assert len(places) == len(set(places)), "a row is written twice at once"
         row = await store.read(RESULTS, "i", "job")
         assert row.value["size"] == len("one"), "the first result stays"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_second_end_of_a_unit_goes_into_a_transaction_of_its_own():
@@ -125,15 +130,15 @@
 
     async def scenario():
         store = MemoryTables()
-        committer = Committer(store, World().desk.clock)
+        committer = ResultWriter(store, JobCluster().job_manager.clock)
         done = Claim("a", "s", True)
         for item in "ij":
             result = Result(item, ResultState.WHOLE, "text", (1,), "score")
-            committer.put(Finished("job", "unit", result, done))
+            committer.enqueue(PendingResult("job", "unit", result, done))
         await committer.drain()
         assert {place[2] for place in store.rows if place[0] == RESULTS} == {"i", "j"}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_unit_that_comes_back_does_not_run_what_waits_for_the_store():
@@ -144,32 +149,32 @@
     """
 
     async def scenario():
-        store = HeldAnswers()
-        world = World(store=store)
+        store = HeldAnswerTables()
+        world = JobCluster(store=store)
         world.follow()
-        engine = Stuck("job-1-0", "job-1-1")
+        engine = BlockingEngine("job-1-0", "job-1-1")
         agent = world.agent(engine=engine)
-        committer = agent.runner.committer
-        store.hold(RESULTS)
+        committer = agent.runner.result_writer
+        store.hold_answers(RESULTS)
         units = await world.submit(groups=2, size=2)
-        await until(lambda: ("results", "job", "job-0-0") in store.rows)
+        await wait_until(lambda: ("results", "job", "job-0-0") in store.rows)
         engine.stuck["job-1-0"].set()
-        await until(lambda: len(committer.waiting["job"]) == 3)
+        await wait_until(lambda: len(committer.pending["job"]) == 3)
         first = agent.runner.units["job", units[1].key]
         agent.runner.hand_over_unit(first, "the engine is slow")
-        await until(
+        await wait_until(
             lambda: agent.runner.units.get(("job", units[1].key)) not in (None, first)
         )
-        await turns()
+        await run_loop_turns()
         engine.stuck["job-1-1"].set()
-        store.answer(RESULTS)
+        store.release_answers(RESULTS)
         results = await world.results()
         assert [item for item, _ in engine.started].count("job-1-0") == 1
         items = [result.item for result in results]
         assert sorted(items) == sorted(item.id for u in units for item in u.items)
         await world.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_items_without_a_result_begin_while_others_wait_for_the_store():
@@ -180,25 +185,27 @@
     """
 
     async def scenario():
-        store = HeldAnswers()
-        world = World(store=store)
-        engine = Stuck("job-0-1")
+        store = HeldAnswerTables()
+        world = JobCluster(store=store)
+        engine = BlockingEngine("job-0-1")
         agent = world.agent(engine=engine)
-        committer = agent.runner.committer
-        store.hold(RESULTS)
+        committer = agent.runner.result_writer
+        store.hold_answers(RESULTS)
         (unit,) = await world.submit(groups=1, size=2)
-        await until(lambda: committer.waiting.get("job"))
+        await wait_until(lambda: committer.pending.get("job"))
         agent.runner.hand_over_all("the engine is slow")
         engine.stuck["job-0-1"].set()
-        await until(lambda: ("job-0-1", 0) in engine.started)
-        await until(lambda: len(committer.waiting["job"]) == 2)
+        await wait_until(lambda: ("job-0-1", 0) in engine.started)
+        await wait_until(lambda: len(committer.pending["job"]) == 2)
         assert "done" not in store.rows["claims", "job", unit.key].value
-        store.answer(RESULTS)
-        await until(lambda: store.rows["claims", "job", unit.key].value.get("done"))
+        store.release_answers(RESULTS)
+        await wait_until(
+            lambda: store.rows["claims", "job", unit.key].value.get("done")
+        )
         assert [item for item, _ in engine.started].count("job-0-0") == 1
         await world.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_unit_whose_results_all_wait_is_done_behind_them():
@@ -208,24 +215,28 @@
     """
 
     async def scenario():
-        store = HeldAnswers()
-        world = World(store=store)
+        store = HeldAnswerTables()
+        world = JobCluster(store=store)
         agent = world.agent(engine=FakeEngine())
-        store.hold(RESULTS)
+        store.hold_answers(RESULTS)
         (unit,) = await world.submit(groups=1, size=1)
-        await until(lambda: agent.runner.committer.waiting.get("job"))
-        finished = agent.runner.committer.waiting["job"][0]
-        agent.runner.committer.waiting["job"][0] = attrs.evolve(finished, last=None)
+        await wait_until(lambda: agent.runner.result_writer.pending.get("job"))
+        finished = agent.runner.result_writer.pending["job"][0]
+        agent.runner.result_writer.pending["job"][0] = attrs.evolve(
+            finished, final_claim=None
+        )
         free = Write(CLAIMS, unit.key, {}, part="job")
         await MemoryTables.commit(store, [free])
-        await until(lambda: agent.runner.units)
-        await turns()
+        await wait_until(lambda: agent.runner.units)
+        await run_loop_turns()
         assert "done" not in store.rows["claims", "job", unit.key].value
-        store.answer(RESULTS)
-        await until(lambda: store.rows["claims", "job", unit.key].value.get("done"))
+        store.release_answers(RESULTS)
+        await wait_until(
+            lambda: store.rows["claims", "job", unit.key].value.get("done")
+        )
         await world.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_transaction_that_names_a_row_twice_is_an_error_of_the_caller():
@@ -238,5 +249,5 @@
     log = ResultLog()
     value = to_row(Result("i", ResultState.WHOLE, size=3))
     row = Row(RESULTS, "i", 5, value, "job")
-    log.take([row, row])
+    log.add_rows([row, row])
     assert [result.item for result in log.page(0, 100)] == ["i"]
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -9,29 +9,29 @@
 
 from gypsumshift.jobs.agent import CONCURRENT_CLAIMS
 from gypsumshift.jobs.liveness import LivenessProbe
-from gypsumshift.jobs.model import AGENTS, CLAIMS, Claim, Heartbeat, to_row
+from gypsumshift.jobs.records import AGENTS, CLAIMS, Claim, Heartbeat, to_row
 from gypsumshift.platforms import Write
-from tests.jobs_world import FakeEngine, HeldAnswers, World
-from tests.late_world import (
-    Broken,
-    LosesClaims,
-    LosesReturns,
-    Refuses,
-    TellsNoClaims,
-    play,
-    turns,
-    until,
+from tests.job_builders import FakeEngine, HeldAnswerTables, JobCluster
+from tests.late_answer_builders import (
+    ClaimRefusingTables,
+    FailingEngine,
+    LostClaimTables,
+    LostReleaseTables,
+    NoClaimChangesTables,
+    run_loop_turns,
+    run_scenario,
+    wait_until,
 )
 
 
 async def busy(store):
     """Return a world, and an agent with its engine, at which two items run."""
-    world = World(store=store)
+    world = JobCluster(store=store)
     engine = FakeEngine()
-    engine.hold.clear()
+    engine.may_finish.clear()
     agent = world.agent(engine=engine)
     await world.submit(groups=1, size=2)
-    await until(lambda: len(engine.running) == 2)
+    await wait_until(lambda: len(engine.running) == 2)
     return world, agent, engine
 
 
@@ -43,17 +43,17 @@
     """
 
     async def scenario():
-        store = HeldAnswers()
+        store = HeldAnswerTables()
         world, agent, engine = await busy(store)
-        await turns()
-        store.hold(CLAIMS)
+        await run_loop_turns()
+        store.hold_answers(CLAIMS)
         agent.wake()
         agent.runner.hand_over_all("the engine is slow")
-        await turns()
+        await run_loop_turns()
         assert len(engine.started) == 2, "the unit began again where it was given back"
         await world.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_unit_that_fails_is_left_alone_until_it_was_given_back():
@@ -64,18 +64,18 @@
     """
 
     async def scenario():
-        world = World()
-        engine = Broken()
+        world = JobCluster()
+        engine = FailingEngine()
         agent = world.agent(engine=engine)
         await world.submit(groups=1, size=1)
-        await until(lambda: engine.started and not agent.runner.units)
+        await wait_until(lambda: engine.started and not agent.runner.units)
         for _ in range(5):
             agent.wake()
-            await turns()
+            await run_loop_turns()
         assert len(engine.started) == 1
         await world.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_unit_whose_return_was_carried_out_unanswered_is_not_begun():
@@ -86,20 +86,20 @@
     """
 
     async def scenario():
-        store = LosesReturns()
+        store = LostReleaseTables()
         world, agent, engine = await busy(store)
         store.told.clear()
-        await turns()
+        await run_loop_turns()
         # A slow engine gets nothing new for two seconds.
         agent.slow_at = agent.clock.monotonic()
         agent.runner.hand_over_all("the engine is slow")
-        await until(lambda: store.lost and not agent.runner.returns.pending)
+        await wait_until(lambda: store.lost and not agent.runner.releaser.pending)
         agent.wake()
-        await turns()
+        await run_loop_turns()
         assert len(engine.started) == 2
         await world.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_unit_is_not_taken_from_an_agent_that_is_heard_while_it_is_asked():
@@ -116,26 +116,26 @@
         async def is_alive(self, claim):
             beat = to_row(Heartbeat(claim.session, 2))
             await world.store.commit([Write(AGENTS, claim.agent, beat)])
-            await until(lambda: agent.peers.last_heartbeat(claim.agent).beat == 2)
+            await wait_until(lambda: agent.peers.last_heartbeat(claim.agent).beat == 2)
             self.answered = True
             return False
 
     async def scenario():
         nonlocal world, agent
-        world, presence, engine = World(), Overtaken(), FakeEngine()
+        world, presence, engine = JobCluster(), Overtaken(), FakeEngine()
         beat = to_row(Heartbeat("other", 1))
         await world.store.commit([Write(AGENTS, "b", beat)])
         (unit,) = await world.submit(groups=1, size=2)
         claim = to_row(Claim("b", "other"))
         await world.store.commit([Write(CLAIMS, unit.key, claim, part="job")])
         agent = world.agent(engine=engine, presence=presence)
-        await until(lambda: presence.answered)
-        await turns()
+        await wait_until(lambda: presence.answered)
+        await run_loop_turns()
         assert not engine.started, "the unit of an agent that works was taken"
         await world.close()
 
     world = agent = None
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_claim_that_was_carried_out_while_the_engine_fell_silent_is_returned():
@@ -147,21 +147,21 @@
     """
 
     async def scenario():
-        store = LosesClaims()
-        world = World(store=store)
+        store = LostClaimTables()
+        world = JobCluster(store=store)
         engine = FakeEngine()
         agent = world.agent(engine=engine)
-        await until(lambda: agent.local_engine.healthy)
+        await wait_until(lambda: agent.local_engine.healthy)
         await world.submit(groups=1, size=2)
-        await until(lambda: store.lost)
+        await wait_until(lambda: store.lost)
         engine.serves = False
-        await until(lambda: not agent.local_engine.healthy)
+        await wait_until(lambda: not agent.local_engine.healthy)
         store.told.set()
-        await until(lambda: store.rows["claims", "job", "00000"].value == {})
+        await wait_until(lambda: store.rows["claims", "job", "00000"].value == {})
         assert not engine.started
         await world.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_conflict_that_no_claim_explains_is_not_tried_again_at_once():
@@ -172,17 +172,17 @@
     """
 
     async def scenario():
-        store = Refuses()
-        world = World(store=store)
+        store = ClaimRefusingTables()
+        world = JobCluster(store=store)
         agent = world.agent()
-        await until(lambda: agent.local_engine.healthy)
+        await wait_until(lambda: agent.local_engine.healthy)
         await world.submit(groups=1, size=2)
-        await until(lambda: store.refused)
-        await turns()
+        await wait_until(lambda: store.refused)
+        await run_loop_turns()
         assert store.refused <= CONCURRENT_CLAIMS
         await world.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_agent_that_leaves_returns_what_its_claims_bring():
@@ -193,24 +193,24 @@
     """
 
     async def scenario():
-        store = TellsNoClaims()
-        world = World(store=store)
+        store = NoClaimChangesTables()
+        world = JobCluster(store=store)
         engine = FakeEngine()
-        engine.hold.clear()
+        engine.may_finish.clear()
         agent = world.agent(engine=engine)
-        await until(lambda: agent.local_engine.healthy)
-        store.hold(CLAIMS)
+        await wait_until(lambda: agent.local_engine.healthy)
+        store.hold_answers(CLAIMS)
         await world.submit(groups=1, size=2)
-        await until(lambda: ("claims", "job", "00000") in store.rows)
-        engine.hold.clear()
+        await wait_until(lambda: ("claims", "job", "00000") in store.rows)
+        engine.may_finish.clear()
         leaving = asyncio.create_task(agent.drain())
-        await turns()
-        store.answer(CLAIMS)
+        await run_loop_turns()
+        store.release_answers(CLAIMS)
         await leaving
         assert store.rows["claims", "job", "00000"].value == {}
         await world.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_unit_is_not_claimed_where_room_went_while_its_holder_was_asked():
@@ -230,18 +230,18 @@
             return False
 
     async def scenario():
-        world, presence, engine = World(), Slow(), FakeEngine()
-        engine.hold.clear()
+        world, presence, engine = JobCluster(), Slow(), FakeEngine()
+        engine.may_finish.clear()
         (unit,) = await world.submit("old", groups=1, size=2)
         claim = to_row(Claim("b", "other"))
         await world.store.commit([Write(CLAIMS, unit.key, claim, part="old")])
         agent = world.agent(engine=engine, presence=presence)
-        await until(lambda: presence.asked)
+        await wait_until(lambda: presence.asked)
         await world.submit("new", groups=2, size=2)
-        await until(lambda: agent.runner.load == 4)
+        await wait_until(lambda: agent.runner.load == 4)
         presence.answer.set()
-        await turns()
+        await run_loop_turns()
         assert agent.runner.load == 4
         await world.close()
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_late_machine.py
+++ b/tests/test_late_machine.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from gypsumshift.jobs import Desk, Event, split
+from gypsumshift.jobs import Event, JobManager, split_into_units
 from gypsumshift.jobs.agent import Agent
 from gypsumshift.jobs.localengine import AgentIdentity
 from gypsumshift.memory import MemoryTables
@@ -18,7 +18,7 @@
 from gypsumshift.platforms import WrappedStore
 from gypsumshift.serving import Directory
 from gypsumshift.watch import run_all
-from tests import jobs_world as jw
+from tests import job_builders as jw
 from tests.own_time import LoopClock, OwnTime
 
 # Seconds with faults, until all is listed, and for what is still on its way.
@@ -89,7 +89,7 @@
         self.tables, self.clock = MemoryTables(), LoopClock()
         self.faulty, self.doubled, self.tasks = True, [], []
         self.agents, self.ways = {}, {}
-        self.desks = [Desk(Way(self), self.clock, jw.METRICS) for _ in range(2)]
+        self.desks = [JobManager(Way(self), self.clock, jw.METRICS) for _ in range(2)]
         self.jobs, self.stood = {}, collections.defaultdict(dict)
 
     def chances(self):
@@ -114,9 +114,9 @@
         self.tasks.append(asyncio.create_task(agent.run()))
 
     async def submit(self, name):
-        units = split(jw.items(self.chance.randint(2, 4), 2, step=name))
+        units = split_into_units(jw.items(self.chance.randint(2, 4), 2, step=name))
         self.jobs[name] = job = jw.job(units, name)
-        await self.desks[0].submit(job, units, self.clock.monotonic() + CALM)
+        await self.desks[0].submit_job(job, units, self.clock.monotonic() + CALM)
         for desk in self.desks:
             self.tasks.append(asyncio.create_task(self.read_on(desk, name)))
 
@@ -124,7 +124,7 @@
         """Read as trainers do; what stood somewhere stands there at every desk."""
         chance, after = self.chances(), 0
         while True:
-            page = await desk.read(name, chance.choice((0, after)), 0.2)
+            page = await desk.read_results(name, chance.choice((0, after)), 0.2)
             after = max(after, page.next)
             for place, result in enumerate(page.results, page.next - len(page.results)):
                 known = self.stood[name].setdefault(place, result)
@@ -151,7 +151,7 @@
         while self.clock.monotonic() < until:
             await self.disturb()
         self.faulty, until = False, until + CALM
-        due = sum(job.total for job in self.jobs.values())
+        due = sum(job.item_count for job in self.jobs.values())
         while self.clock.monotonic() < until:
             if sum(map(len, self.stood.values())) >= due:
                 break
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -3,7 +3,7 @@
 import collections
 import random
 
-from gypsumshift.jobs import split
+from gypsumshift.jobs import split_into_units
 from gypsumshift.jobs.agent import CLAIM_PERIOD
 from gypsumshift.jobs.capacity import FreeCapacity
 from gypsumshift.jobs.claimer import PROBE_PERIOD
@@ -14,12 +14,12 @@
     heartbeat_period,
 )
 from gypsumshift.jobs.liveness import LIVENESS_PATH, HttpLivenessProbe
-from gypsumshift.jobs.model import AGENTS, CLAIMS, Claim, to_row
 from gypsumshift.jobs.peers import HEARTBEAT_TIMEOUT, Peers
+from gypsumshift.jobs.records import AGENTS, CLAIMS, Claim, to_row
 from gypsumshift.neighbours import Neighbour, Relay
 from gypsumshift.platforms import Row, Write
 from tests.builders import ManualClock
-from tests.jobs_world import (
+from tests.job_builders import (
     MODEL,
     ScriptedLivenessProbe,
     claim_row,
@@ -27,7 +27,7 @@
     job,
     job_row,
 )
-from tests.jobs_world import World as JobsWorld
+from tests.job_builders import JobCluster as JobsWorld
 from tests.system import until
 from tests.test_agent import scenario as jobs_scenario
 from tests.test_neighbours import NOBODY, call, fail_twice, scenario
@@ -113,7 +113,7 @@
         Agents of all models, which decide how often each of them beats.
     """
     chance = random.Random(seed)
-    value = job(split(items(agents, size=1)))
+    value = job(split_into_units(items(agents, size=1)))
     period = heartbeat_period(fleet, 3200)
     phases = {f"a{n}": chance.uniform(0, period) for n in range(agents)}
     boards = []
@@ -176,10 +176,10 @@
 def test_a_unit_of_a_silent_agent_comes_before_those_of_newer_steps():
     clock = ManualClock()
     own = ClaimTracker("mine", clock, random.Random(1), Peers("mine", clock))
-    own.apply_job_rows([job_row(job(split(items(1)), "old"))])
+    own.apply_job_rows([job_row(job(split_into_units(items(1)), "old"))])
     own.apply_claim_rows([claim_row("old", "00000", "silent", "s", 2)])
     clock.advance(HEARTBEAT_TIMEOUT + 0.1)
-    own.apply_job_rows([job_row(job(split(items(3, step="n")), "new"))])
+    own.apply_job_rows([job_row(job(split_into_units(items(3, step="n")), "new"))])
     chosen = own.choose_candidate([MODEL], {MODEL: 1}, FreeCapacity(8))
     assert (chosen.job.id, chosen.silent_claim.agent) == ("old", "silent")
     assert (
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -2,7 +2,6 @@
 
 import asyncio
 
-from gypsumshift.jobs.model import AGENTS
 from gypsumshift.jobs.pace import (
     MIN_GAPS,
     MIN_SPAN,
@@ -12,9 +11,10 @@
     is_slow,
     is_slower,
 )
+from gypsumshift.jobs.records import AGENTS
 from gypsumshift.platforms import Write
 from tests.builders import ManualClock
-from tests.jobs_world import FakeEngine, World, server
+from tests.job_builders import FakeEngine, JobCluster, server
 from tests.system import until
 from tests.test_agent import scenario
 
@@ -95,7 +95,7 @@
 
 
 @scenario
-async def test_a_slow_engine_hands_over_what_it_has_and_pauses(world: World):
+async def test_a_slow_engine_hands_over_what_it_has_and_pauses(world: JobCluster):
     slow = FakeEngine(length=400)
     slow.gap = 0.03
     agent = world.agent("slow", slow)
@@ -136,7 +136,7 @@
 
 
 @scenario
-async def test_long_items_that_a_slower_engine_began_are_given_back(world: World):
+async def test_long_items_that_a_slower_engine_began_are_given_back(world: JobCluster):
     """Begun before its pace was known, they would end a fourth later than elsewhere."""
     agent, units = await slower_agent(world)
     await tell_of_a_faster_engine(world)
@@ -150,7 +150,9 @@
 
 
 @scenario
-async def test_long_items_go_also_where_their_engine_serves_another_model(world: World):
+async def test_long_items_go_also_where_their_engine_serves_another_model(
+    world: JobCluster,
+):
     """An engine found to be slower changes its model while the first step runs."""
     agent, _ = await slower_agent(world)
     agent.weights.assigned_models = lambda: ("another",)
@@ -161,7 +163,7 @@
 
 
 @scenario
-async def test_units_that_went_are_forgotten_with_their_jobs(world: World):
+async def test_units_that_went_are_forgotten_with_their_jobs(world: JobCluster):
     agent, _ = await slower_agent(world)
     await tell_of_a_faster_engine(world)
     await until(lambda: agent.unit_migrator.migrated)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -22,16 +22,16 @@
     heartbeat_part,
 )
 from gypsumshift.jobs.localengine import AgentIdentity, LocalEngine
-from gypsumshift.jobs.model import AGENTS, Claim
 from gypsumshift.jobs.pace import Pace
 from gypsumshift.jobs.peers import HEARTBEAT_TIMEOUT, HolderState
+from gypsumshift.jobs.records import AGENTS, Claim
 from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import Unavailable, Unknown
 from gypsumshift.platforms import Row
 from gypsumshift.serving import Directory
 from tests.builders import ManualClock
-from tests.jobs_world import ADDRESS, METRICS, SERVICE, FakeEngine, make_tracker
+from tests.job_builders import ADDRESS, METRICS, SERVICE, FakeEngine, make_tracker
 
 AGENT = "a"
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gypsumshift.jobs import split
+from gypsumshift.jobs import split_into_units
 from gypsumshift.jobs.placement import (
     SECOND_TURN,
     Demand,
@@ -14,7 +14,7 @@
     assign,
     choose_load,
 )
-from tests.jobs_world import items, job
+from tests.job_builders import items, job
 
 THREE = {"short": 0.2, "note": 0.39, "story": 0.41}
 LENGTHS = {"short": 6500, "note": 10600, "story": 10600}
@@ -101,8 +101,12 @@
     assert demand.shares(("a", "b")) == {"a": 0.5, "b": 0.5}
     for number in range(8):
         groups = 1 if number < 4 else 3
-        demand.add(job(split(items(groups, step=f"{number}")), f"a{number}", "a"))
-        demand.add(job(split(items(1, step=f"b{number}")), f"b{number}", "b"))
+        demand.add(
+            job(split_into_units(items(groups, step=f"{number}")), f"a{number}", "a")
+        )
+        demand.add(
+            job(split_into_units(items(1, step=f"b{number}")), f"b{number}", "b")
+        )
     assert demand.shares(("a", "b")) == {"a": 0.75, "b": 0.25}
 
 
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -13,7 +13,7 @@
 from gypsumshift.serving.directory import ServerStart
 from gypsumshift.serving.pool import Pool
 from tests.builders import ManualClock
-from tests.jobs_world import ADDRESS, SERVICE, FakeEngine, World, server
+from tests.job_builders import ADDRESS, SERVICE, FakeEngine, JobCluster, server
 
 
 def born(start, **changes):
@@ -107,9 +107,9 @@
     """Behind a silent connection they would wait for three seconds."""
 
     async def scenario():
-        world = World()
+        world = JobCluster()
         engine = FakeEngine()
-        engine.hold.clear()
+        engine.may_finish.clear()
         agent = world.agent(engine=engine)
         agent.local_engine.directory.set_server(born(1, id="e-a"))
         await world.submit()
@@ -122,7 +122,7 @@
         engine.length = 3
         agent.local_engine.directory.set_server(born(2, id="e-a"))
         assert agent.local_engine.versions == {}
-        engine.hold.set()
+        engine.may_finish.set()
         results = await world.results()
         assert len(results) == 4
         assert len(engine.started) >= before
--- a/tests/test_resultlog.py
+++ b/tests/test_resultlog.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from gypsumshift.jobs import Result, ResultState
-from gypsumshift.jobs.model import RESULTS, to_row
+from gypsumshift.jobs.records import RESULTS, to_row
 from gypsumshift.jobs.resultlog import ResultLog
 from gypsumshift.platforms import Row
 
@@ -22,9 +22,9 @@
 @given(st.permutations(rows(12)), st.integers(0, 12))
 def test_two_sources_that_overlap_give_one_order(shuffled, cut):
     one, other = ResultLog(), ResultLog()
-    one.take(shuffled[:cut])
-    one.take(shuffled)
-    other.take(rows(12))
+    one.add_rows(shuffled[:cut])
+    one.add_rows(shuffled)
+    other.add_rows(rows(12))
     assert one.page(0, 10**6) == other.page(0, 10**6)
 
 
@@ -35,7 +35,7 @@
     for size in batches:
         # A watch gives whole transactions, oldest first.
         until = every[min(size * 3 + len(read), 24) - 1].version
-        log.take([row for row in every if row.version <= until])
+        log.add_rows([row for row in every if row.version <= until])
         page = log.page(0, 10**6)
         assert page[: len(read)] == read
         read = page
@@ -43,6 +43,6 @@
 
 def test_a_page_holds_one_result_whatever_its_size():
     log = ResultLog()
-    log.take(rows(3))
+    log.add_rows(rows(3))
     assert len(log.page(0, 1)) == 1
     assert log.page(3, 1) == []
--- a/tests/test_rewardlimiter.py
+++ b/tests/test_rewardlimiter.py
@@ -6,12 +6,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gypsumshift.jobs.model import RewardCall
 from gypsumshift.jobs.prioritysemaphore import PrioritySemaphore
+from gypsumshift.jobs.records import RewardCall
 from gypsumshift.jobs.rewardlimiter import MOST, RewardLimiter, share_of_places
 from gypsumshift.serving import BackendServer, Directory
 from tests.builders import ManualClock
-from tests.jobs_world import HOST, FakeEngine, World, routes, server
+from tests.job_builders import HOST, FakeEngine, JobCluster, routes, server
 from tests.test_agent import scenario
 from tests.test_prioritysemaphore import hold, play
 
@@ -92,7 +92,7 @@
 
 
 @scenario
-async def test_scores_go_on_at_the_share_of_the_agent(world: World):
+async def test_scores_go_on_at_the_share_of_the_agent(world: JobCluster):
     agent = world.agent("a", FakeEngine())
     await world.submit(groups=4)
     assert len(await world.results()) == 8
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -8,10 +8,10 @@
 
 from gypsumshift.jobs.capacity import FreeCapacity
 from gypsumshift.jobs.claimtracker import CANDIDATES
-from gypsumshift.jobs.model import Item
-from gypsumshift.jobs.schedule import UNIT_ITEMS, begin_order, split
+from gypsumshift.jobs.records import Item
+from gypsumshift.jobs.schedule import MAX_UNIT_ITEMS, order_units, split_into_units
 from tests.builders import ManualClock
-from tests.jobs_world import MODEL, claim_row, items, job, job_row, make_tracker
+from tests.job_builders import MODEL, claim_row, items, job, job_row, make_tracker
 
 # Seconds for one event, and the most events of an item.
 EVENT = 0.05
@@ -69,8 +69,8 @@
     ratios = []
     for seed in range(20):
         found, lengths = step(seed)
-        units = split(found)
-        ends = play(units, begin_order(job(units), set()), lengths)
+        units = split_into_units(found)
+        ends = play(units, order_units(job(units), set()), lengths)
         ratios.append(max(ends.values()) / (max(lengths.values()) * EVENT))
     assert sum(ratios) / len(ratios) < 1.02
     assert max(ratios) < 1.1
@@ -78,10 +78,10 @@
 
 def test_units_hold_items_of_one_group_and_about_one_length():
     found, _ = step(1)
-    units = split(found)
+    units = split_into_units(found)
     assert sorted(i.id for u in units for i in u.items) == sorted(i.id for i in found)
     assert len({unit.key for unit in units}) == len(units)
-    assert all(len(unit.items) <= UNIT_ITEMS for unit in units)
+    assert all(len(unit.items) <= MAX_UNIT_ITEMS for unit in units)
     assert all(len({item.group for item in unit.items}) == 1 for unit in units)
     for group in {item.group for item in found}:
         hints = [i.hint for u in units for i in u.items if i.group == group]
@@ -89,7 +89,7 @@
 
 
 def test_a_job_without_items_has_no_units():
-    assert split([]) == []
+    assert split_into_units([]) == []
 
 
 def test_groups_that_the_trainer_does_not_wait_for_come_last():
@@ -98,16 +98,18 @@
         for group, hint in (("a", 10), ("b", 90), ("c", 20))
         for n in range(2)
     ]
-    units = split(found)
-    order = begin_order(attrs.evolve(job(units), groups_needed=2), set())
+    units = split_into_units(found)
+    order = order_units(attrs.evolve(job(units), groups_needed=2), set())
     assert [unit.group for unit in order] == ["c", "a", "b"]
-    order = begin_order(attrs.evolve(job(units), groups_needed=0), set())
+    order = order_units(attrs.evolve(job(units), groups_needed=0), set())
     assert [unit.group for unit in order] == ["b", "c", "a"]
 
 
 def test_a_group_that_came_again_counts_among_those_waited_for():
-    units = split([Item(g, "/run/", {}, b"", g, 10) for g in ("a", "b", "c")])
-    order = begin_order(attrs.evolve(job(units), groups_needed=2), {"c"})
+    units = split_into_units(
+        [Item(g, "/run/", {}, b"", g, 10) for g in ("a", "b", "c")]
+    )
+    order = order_units(attrs.evolve(job(units), groups_needed=2), {"c"})
     assert [unit.group for unit in order] == ["c", "a", "b"]
 
 
@@ -159,7 +161,7 @@
     plain_times, aware_times = [], []
     for seed in range(20):
         found, lengths = step(seed, groups=9, size=4)
-        units = split(found)
+        units = split_into_units(found)
         best = max(lengths.values()) * UNEVEN[0]
         plain_times.append(play_uneven(units, lengths, aware=False) / best)
         aware_times.append(play_uneven(units, lengths, aware=True) / best)
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -8,7 +8,7 @@
 from gypsumshift.serving.pool import Pool
 from gypsumshift.serving.sender import Sender
 from tests.builders import ManualClock
-from tests.jobs_world import HOST, METRICS, NAMES, routes
+from tests.job_builders import HOST, METRICS, NAMES, routes
 from tests.test_pool import servers
 
 TOOK = 0.03
--- a/tests/test_server_entry.py
+++ b/tests/test_server_entry.py
@@ -16,9 +16,9 @@
 from gypsumshift.serving import Directory
 from tests import platform_world  # noqa: F401  (puts the adapter on the path)
 from tests.builders import ManualClock
-from tests.jobs_world import entry
+from tests.job_builders import engine_table_entry
 
-OTHER = entry(addr="10.0.0.2:8600")
+OTHER = engine_table_entry(addr="10.0.0.2:8600")
 
 
 def make_feed():
@@ -60,11 +60,13 @@
     b"7",
     b"null",
     *(
-        encoded({key: value for key, value in entry().items() if key != name})
+        encoded(
+            {key: value for key, value in engine_table_entry().items() if key != name}
+        )
         for name in ("service", "addr", "zone", "version", "slots", "state", "seq")
     ),
     *(
-        encoded(entry(**changes))
+        encoded(engine_table_entry(**changes))
         for changes in (
             {"slots": "16"},
             {"slots": True},
@@ -99,29 +101,29 @@
 @pytest.mark.parametrize("data", FOREIGN)
 def test_a_foreign_entry_names_no_server_and_those_beside_it_hold(data):
     directory, feed = make_feed()
-    tell(feed, ("e1", encoded(entry())))
+    tell(feed, ("e1", encoded(engine_table_entry())))
     assert set(directory.servers) == {"e1"}
     tell(feed, ("e1", data), ("e2", encoded(OTHER)))
     assert set(directory.servers) == {"e2"}
-    tell(feed, ("e1", encoded(entry())))
+    tell(feed, ("e1", encoded(engine_table_entry())))
     assert set(directory.servers) == {"e1", "e2"}
 
 
 def test_an_entry_without_a_start_is_foreign_once_its_server_told_one():
     directory, feed = make_feed()
-    tell(feed, ("e1", encoded(entry())))
-    tell(feed, ("e1", encoded(entry(born=5))))
+    tell(feed, ("e1", encoded(engine_table_entry())))
+    tell(feed, ("e1", encoded(engine_table_entry(born=5))))
     assert directory.servers["e1"].born == 5
-    tell(feed, ("e1", encoded(entry())))
+    tell(feed, ("e1", encoded(engine_table_entry())))
     assert not directory.servers
 
 
 def test_a_foreign_entry_is_said_once_for_each_reason():
     directory, feed = make_feed()
     for number in range(3):
-        tell(feed, ("e1", encoded(entry(slots="x", seq=number))))
+        tell(feed, ("e1", encoded(engine_table_entry(slots="x", seq=number))))
     assert len(feed.foreign) == 1
-    tell(feed, ("e1", encoded(entry())))
+    tell(feed, ("e1", encoded(engine_table_entry())))
     assert not feed.foreign
 
 
@@ -138,7 +140,9 @@
 @st.composite
 def mutated(draw):
     """Return the bytes of an entry of which something is changed."""
-    value = copy.deepcopy(entry(born=9, models=[{"name": "m", "version": 2}]))
+    value = copy.deepcopy(
+        engine_table_entry(born=9, models=[{"name": "m", "version": 2}])
+    )
     for _ in range(draw(st.integers(1, 3))):
         name = draw(st.sampled_from(sorted(value) or ["service"]))
         if draw(st.booleans()):
@@ -154,7 +158,7 @@
 @given(mutated() | st.binary(max_size=40))
 def test_whatever_stands_in_an_entry_it_names_a_server_or_none(data):
     directory, feed = make_feed()
-    tell(feed, ("e1", encoded(entry(born=9))), ("e3", encoded(OTHER)))
+    tell(feed, ("e1", encoded(engine_table_entry(born=9))), ("e3", encoded(OTHER)))
     tell(feed, ("e1", data), ("e2", encoded(OTHER)))
     assert {"e2", "e3"} <= set(directory.servers)
     for server in directory.servers.values():
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -12,7 +12,7 @@
 from gypsumshift.serving import Directory
 from gypsumshift.watch import GATHER, HEARD_GAP, POLL, Watch
 from tests.builders import ManualClock
-from tests.jobs_world import World
+from tests.job_builders import JobCluster
 from tests.platform_world import FOLDER
 from tests.test_agent import scenario
 
@@ -82,7 +82,7 @@
 
 @scenario
 async def test_a_lost_agent_is_missed_by_half_a_heartbeat_later_at_the_most(
-    world: World,
+    world: JobCluster,
 ):
     agent = world.agent("a")
     gathers = {watch.table: watch.gather for watch in agent.watches}
