--- a/gypsumshift/jobs/peers.py
+++ b/gypsumshift/jobs/peers.py
@@ -14,9 +14,9 @@
 import attrs
 
 from gypsumshift.clock import Clock
-from gypsumshift.jobs.model import Claim, Heartbeat, parse_row
 from gypsumshift.jobs.pace import is_slower
 from gypsumshift.jobs.placement import EngineView
+from gypsumshift.jobs.records import Claim, Heartbeat, parse_row
 from gypsumshift.platforms import ABSENT, Row
 from gypsumshift.serving.directory import ServerStart
 
@@ -224,7 +224,7 @@
             state.heartbeat
             for state in sorted(self.states.values(), key=lambda state: state.seen_at)
         ]
-        return {b.start: EngineView(b.engine, b.home, b.usual) for b in beats}
+        return {b.server_start: EngineView(b.engine, b.home, b.usual) for b in beats}
 
     def faster_engines(self, usual: float, engines: Collection[str]) -> list[Heartbeat]:
         """Return the recent heartbeats of agents whose engines are faster than one.
--- a/tests/test_claimtracker.py
+++ b/tests/test_claimtracker.py
@@ -1,15 +1,15 @@
 """Choice of the unit that an agent claims, and release of other agents' claims."""
 
-from gypsumshift.jobs import split
+from gypsumshift.jobs import split_into_units
 from gypsumshift.jobs.capacity import FreeCapacity
 from gypsumshift.jobs.claimtracker import LONG_UNIT_WAIT
 from gypsumshift.jobs.heartbeatwriter import HEARTBEAT_PERIOD
-from gypsumshift.jobs.model import AGENTS, END_KEY, JOB_KEY, JOBS, Item
 from gypsumshift.jobs.peers import HEARTBEAT_TIMEOUT, MAX_TABLE_AGE
-from gypsumshift.jobs.schedule import begin_order
+from gypsumshift.jobs.records import AGENTS, END_KEY, JOB_KEY, JOBS, Item
+from gypsumshift.jobs.schedule import order_units
 from gypsumshift.platforms import Row
 from tests.builders import ManualClock
-from tests.jobs_world import MODEL, claim_row, items, job, job_row, make_tracker
+from tests.job_builders import MODEL, claim_row, items, job, job_row, make_tracker
 
 
 def heartbeat_row(agent, session, beat, version):
@@ -19,7 +19,7 @@
 def make_tracker_with_job(groups=2):
     clock = ManualClock()
     tracker = make_tracker(clock=clock)
-    value = job(split(items(groups)))
+    value = job(split_into_units(items(groups)))
     tracker.apply_job_rows([job_row(value)])
     return tracker, clock, value
 
@@ -164,7 +164,7 @@
 def test_an_engine_claims_no_unit_that_requires_newer_weights():
     tracker, _, _ = make_tracker_with_job()
     tracker.apply_job_rows(
-        [job_row(job(split(items(step="x")), "late", oldest_version=5))]
+        [job_row(job(split_into_units(items(step="x")), "late", oldest_version=5))]
     )
     assert choose(tracker, version=0) is None
     assert choose(tracker, version=4).job.id == "job"
@@ -175,13 +175,13 @@
     tracker = make_tracker(clock=clock)
     tracker.peers.apply_rows([heartbeat_row("other", "s", 1, 2)])
     tracker.apply_claim_rows([claim_row("job", "00000", "other", "s", 3)])
-    tracker.apply_job_rows([job_row(job(split(items(1))))])
+    tracker.apply_job_rows([job_row(job(split_into_units(items(1))))])
     assert choose(tracker) is None
 
 
 def test_groups_of_an_earlier_step_come_first():
-    units = split(items(12))
-    again = begin_order(job(units), {"g11"})
+    units = split_into_units(items(12))
+    again = order_units(job(units), {"g11"})
     assert again[0].group == "g11"
 
 
@@ -189,7 +189,7 @@
     tracker, _, value = make_tracker_with_job()
     removed = Row(JOBS, JOB_KEY, 9, None, value.id)
     tracker.apply_job_rows([removed])
-    again = job(split(items(2)), "later")
+    again = job(split_into_units(items(2)), "later")
     tracker.apply_job_rows([job_row(again)])
     assert tracker.known_groups() == {"g0", "g1"}
     tracker.apply_job_rows([Row(JOBS, JOB_KEY, 10, None, "later")])
@@ -205,7 +205,7 @@
         for n in range(2)
     ]
     tracker = make_tracker(clock=ManualClock())
-    tracker.apply_job_rows([job_row(job(split(step)))])
+    tracker.apply_job_rows([job_row(job(split_into_units(step)))])
     full = FreeCapacity(4, 22_000, (8000, 8000))
     taken = {
         tracker.choose_candidate([MODEL], {MODEL: 1}, full).unit.hint for _ in range(20)
@@ -221,7 +221,7 @@
         Item(f"i{n}", "/run/", {}, b"", f"g{n}", 100 if n == 4 else 10 + n)
         for n in range(10)
     ]
-    tracker.apply_job_rows([job_row(job(split(found)))])
+    tracker.apply_job_rows([job_row(job(split_into_units(found)))])
     return tracker, clock
 
 
--- a/tests/test_late_machine.py
+++ b/tests/test_late_machine.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from gypsumshift.jobs import Desk, Event, split
+from gypsumshift.jobs import Event, JobManager, split_into_units
 from gypsumshift.jobs.agent import Agent
 from gypsumshift.jobs.localengine import AgentIdentity
 from gypsumshift.memory import MemoryTables
@@ -19,7 +19,7 @@
 from gypsumshift.platforms import WrappedStore
 from gypsumshift.serving import Directory
 from gypsumshift.watch import run_all
-from tests import jobs_world as jw
+from tests import job_builders as jw
 from tests.own_time import LoopClock, OwnTime
 
 # Seconds with faults, at most until all results are listed afterwards, and for calls
@@ -91,7 +91,9 @@
         self.tables, self.clock = MemoryTables(), LoopClock()
         self.faulty, self.duplicate_rows, self.tasks = True, [], []
         self.agents, self.stores = {}, {}
-        self.desks = [Desk(LateStore(self), self.clock, jw.METRICS) for _ in range(2)]
+        self.desks = [
+            JobManager(LateStore(self), self.clock, jw.METRICS) for _ in range(2)
+        ]
         self.jobs, self.results = {}, collections.defaultdict(dict)
 
     def chances(self):
@@ -116,9 +118,9 @@
         self.tasks.append(asyncio.create_task(agent.run()))
 
     async def submit(self, name):
-        units = split(jw.items(self.chance.randint(2, 4), 2, step=name))
+        units = split_into_units(jw.items(self.chance.randint(2, 4), 2, step=name))
         self.jobs[name] = job = jw.job(units, name)
-        await self.desks[0].submit(job, units, self.clock.monotonic() + CALM)
+        await self.desks[0].submit_job(job, units, self.clock.monotonic() + CALM)
         for desk in self.desks:
             self.tasks.append(asyncio.create_task(self.read_results(desk, name)))
 
@@ -126,7 +128,7 @@
         """Read results as trainers do; check that all desks agree on each position."""
         chance, after = self.chances(), 0
         while True:
-            page = await desk.read(name, chance.choice((0, after)), 0.2)
+            page = await desk.read_results(name, chance.choice((0, after)), 0.2)
             after = max(after, page.next)
             for place, result in enumerate(page.results, page.next - len(page.results)):
                 known = self.results[name].setdefault(place, result)
@@ -153,7 +155,7 @@
         while self.clock.monotonic() < until:
             await self.disturb()
         self.faulty, until = False, until + CALM
-        expected = sum(job.total for job in self.jobs.values())
+        expected = sum(job.item_count for job in self.jobs.values())
         while self.clock.monotonic() < until:
             if sum(map(len, self.results.values())) >= expected:
                 break
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -2,7 +2,6 @@
 
 import asyncio
 
-from gypsumshift.jobs.model import AGENTS
 from gypsumshift.jobs.pace import (
     MIN_GAPS,
     MIN_SPAN,
@@ -12,9 +11,10 @@
     is_slow,
     is_slower,
 )
+from gypsumshift.jobs.records import AGENTS
 from gypsumshift.platforms import Write
 from tests.builders import ManualClock
-from tests.jobs_world import FakeEngine, World, server
+from tests.job_builders import FakeEngine, JobCluster, server
 from tests.system import until
 from tests.test_agent import scenario
 
@@ -95,7 +95,9 @@
 
 
 @scenario
-async def test_a_slow_engine_hands_its_units_over_and_gets_no_new_ones(world: World):
+async def test_a_slow_engine_hands_its_units_over_and_gets_no_new_ones(
+    world: JobCluster,
+):
     slow = FakeEngine(length=400)
     slow.gap = 0.03
     agent = world.agent("slow", slow)
@@ -136,7 +138,7 @@
 
 
 @scenario
-async def test_long_items_started_on_a_slower_engine_are_given_back(world: World):
+async def test_long_items_started_on_a_slower_engine_are_given_back(world: JobCluster):
     """Items started before the pace was known would take a quarter longer here."""
     agent, units = await slower_agent(world)
     await write_faster_heartbeat(world)
@@ -151,7 +153,7 @@
 
 @scenario
 async def test_long_items_are_given_back_after_the_engine_changed_its_model(
-    world: World,
+    world: JobCluster,
 ):
     """An engine found to be slower may change its model while its first step runs."""
     agent, _ = await slower_agent(world)
@@ -163,7 +165,7 @@
 
 
 @scenario
-async def test_moved_units_are_forgotten_when_their_job_ends(world: World):
+async def test_moved_units_are_forgotten_when_their_job_ends(world: JobCluster):
     agent, _ = await slower_agent(world)
     await write_faster_heartbeat(world)
     await until(lambda: agent.unit_migrator.migrated)
