--- a/gypsumshift/agentnode.py
+++ b/gypsumshift/agentnode.py
@@ -12,7 +12,7 @@
 from gypsumshift.policy import DEFAULT, Policy
 from gypsumshift.serving.forwarder import Forwarder
 from gypsumshift.serving.guard import Guard
-from gypsumshift.serving.pool import Pool
+from gypsumshift.serving.loadbalancer import LoadBalancer
 from gypsumshift.serving.sender import Sender
 
 __all__ = ["AgentNode"]
@@ -62,10 +62,12 @@
     ):
         self.guard = Guard(store, clock, chance, metrics)
         watches = [*watches, self.guard.table.watch]
-        super().__init__(directory, watches, Pool(zone, clock, chance, policy), clock)
+        super().__init__(
+            directory, watches, LoadBalancer(zone, clock, chance, policy), clock
+        )
         directory.on_restart.append(lambda old: fetcher.cut(old.address))
-        self.pool.connected = fetcher.connected
-        sender = Sender(directory, self.pool, fetcher, names, clock, metrics)
+        self.balancer.has_idle_connection = fetcher.connected
+        sender = Sender(directory, self.balancer, fetcher, names, clock, metrics)
         forwarder = Forwarder(sender, self.guard, policy)
         engine = EngineClient(fetcher, names, protocol)
         self.agent = Agent(
--- a/gypsumshift/gateway.py
+++ b/gypsumshift/gateway.py
@@ -9,10 +9,10 @@
 from gypsumshift.lifecycle import Node
 from gypsumshift.platforms import RowStore
 from gypsumshift.policy import DEFAULT, Policy
-from gypsumshift.serving.admission import Admission
+from gypsumshift.serving.authorization import Authorizer
 from gypsumshift.serving.forwarder import Forwarder
 from gypsumshift.serving.guard import Guard
-from gypsumshift.serving.pool import Pool
+from gypsumshift.serving.loadbalancer import LoadBalancer
 from gypsumshift.serving.sender import Sender
 from gypsumshift.serving.streams import StreamRelay
 from gypsumshift.watch import Watch
@@ -37,7 +37,7 @@
     directory : Directory
     directory_watches : list of Watch
         Keep the directory current.
-    admission : Admission
+    authorizer : Authorizer
     accounting : Accounting or None
         None where no usage is told.
     names : HeaderNames
@@ -56,7 +56,7 @@
         store,
         directory,
         directory_watches,
-        admission,
+        authorizer,
         accounting,
         names,
         zone,
@@ -67,7 +67,7 @@
         policy: Policy = DEFAULT,
     ):
         self.store: RowStore = store
-        self.admission: Admission = admission
+        self.authorizer: Authorizer = authorizer
         self.accounting: Accounting | None = accounting
         self.chance: random.Random = chance
         self.job_manager = JobManager(store, clock, metrics)
@@ -78,11 +78,13 @@
             *self.job_manager.watches,
             self.guard.table.watch,
         ]
-        super().__init__(directory, watches, Pool(zone, clock, chance, policy), clock)
+        super().__init__(
+            directory, watches, LoadBalancer(zone, clock, chance, policy), clock
+        )
         directory.on_restart.append(lambda old: fetcher.cut(old.address))
-        self.pool.connected = fetcher.connected
+        self.balancer.has_idle_connection = fetcher.connected
         usage = accounting.counter if accounting else None
-        sender = Sender(directory, self.pool, fetcher, names, clock, metrics, usage)
+        sender = Sender(directory, self.balancer, fetcher, names, clock, metrics, usage)
         self.forwarder = Forwarder(sender, self.guard, policy)
         self.streams = StreamRelay(self.forwarder)
         self.leaving = False
@@ -92,7 +94,7 @@
         """Whether new callers should come here."""
         if self.leaving or not self.directory.routes.version:
             return False
-        if not self.guard.informed or not self.admission.ready:
+        if not self.guard.informed or not self.authorizer.ready:
             return False
         newest = max(watch.current_at for watch in self.directory_watches)
         return self.clock.monotonic() - newest < STORE_SILENCE
--- a/gypsumshift/gossip.py
+++ b/gypsumshift/gossip.py
@@ -16,13 +16,13 @@
 from gypsumshift.neighbours import Neighbour, StorePath
 from gypsumshift.server import Request, Response, json_response
 from gypsumshift.serving.directory import Directory
-from gypsumshift.serving.pool import Pool
-from gypsumshift.serving.sightings import decode, encode
+from gypsumshift.serving.loadbalancer import LoadBalancer
+from gypsumshift.serving.observations import decode, encode
 
-__all__ = ["SEEN", "Gossip"]
+__all__ = ["OBSERVATIONS_PATH", "Gossip"]
 
 # Target by which processes exchange what they saw.
-SEEN = "/neighbour/seen"
+OBSERVATIONS_PATH = "/neighbour/seen"
 # Seconds between two exchanges that a process begins, and for an answer.
 PERIOD = 1.0
 ASK_TIMEOUT = 0.3
@@ -39,7 +39,7 @@
 
     Parameters
     ----------
-    pool : Pool
+    balancer : LoadBalancer
         Tells what this process saw, and takes what others saw.
     directory : Directory
     path : StorePath
@@ -50,13 +50,13 @@
 
     def __init__(
         self,
-        pool: Pool,
+        balancer: LoadBalancer,
         directory: Directory,
         path: StorePath,
         clock: Clock,
         chance: random.Random,
     ):
-        self.pool = pool
+        self.balancer = balancer
         self.directory = directory
         self.path = path
         self.clock = clock
@@ -77,7 +77,11 @@
         body = json.dumps(self.told()).encode()
         try:
             answer = await self.path.fetcher.fetch(
-                partner.address, "POST", SEEN, body=body, timeout=ASK_TIMEOUT
+                partner.address,
+                "POST",
+                OBSERVATIONS_PATH,
+                body=body,
+                timeout=ASK_TIMEOUT,
             )
             if answer.status == 200:
                 self.take(answer.body)
@@ -102,8 +106,10 @@
 
     def told(self) -> list[list]:
         """Return what to tell."""
-        self.pool.note_own(list(self.directory.servers.values()))
-        return encode(self.pool.shared.digest(), self.clock.monotonic())
+        self.balancer.share_own_observations(list(self.directory.servers.values()))
+        return encode(
+            self.balancer.shared_observations.digest(), self.clock.monotonic()
+        )
 
     def take(self, body: bytes) -> None:
         """Take what another process told; raises ValueError."""
@@ -111,4 +117,4 @@
             rows = json.loads(body)
         except RecursionError as error:
             raise ValueError("no list of sightings") from error
-        self.pool.shared.take(decode(rows, self.clock.monotonic()))
+        self.balancer.shared_observations.merge(decode(rows, self.clock.monotonic()))
--- a/gypsumshift/jobs/engine.py
+++ b/gypsumshift/jobs/engine.py
@@ -14,9 +14,9 @@
 from gypsumshift.fetch import Exchange, Fetcher, FetchError
 from gypsumshift.jobs.records import Item, Job
 from gypsumshift.outcomes import Answered, NotRun, Unknown
-from gypsumshift.serving.answers import MISDIRECTED, foreign_id
 from gypsumshift.serving.directory import BackendServer
 from gypsumshift.serving.headers import HeaderNames
+from gypsumshift.serving.responses import MISDIRECTED, mismatched_request_id
 
 __all__ = [
     "EngineClient",
@@ -221,7 +221,7 @@
 
     async def check(self, exchange: Exchange, item: Item) -> None:
         """Raise unless an answer is the stream of the item."""
-        foreign = foreign_id(exchange, self.names, item.id)
+        foreign = mismatched_request_id(exchange, self.names, item.id)
         if foreign:
             raise StreamBroken(f"an answer to the request {foreign}")
         if exchange.status != 200:
--- a/gypsumshift/jobs/heartbeatwriter.py
+++ b/gypsumshift/jobs/heartbeatwriter.py
@@ -103,7 +103,7 @@
         self.last = self.tracker.peers.last_heartbeat(self.local_engine.identity.name)
         while True:
             await self.write_next()
-            agents = len(self.local_engine.directory.engines())
+            agents = len(self.local_engine.directory.ready_engines())
             await self.clock.sleep(heartbeat_period(agents, self.store_writes))
 
     async def write_next(self) -> None:
--- a/gypsumshift/jobs/localengine.py
+++ b/gypsumshift/jobs/localengine.py
@@ -107,7 +107,7 @@
     @property
     def service_engines(self) -> list[BackendServer]:
         """Ready engines of the service, this one among them."""
-        return self.directory.service(self.identity.service)
+        return self.directory.ready_servers(self.identity.service)
 
     def is_current(self, report: EngineReport, server: BackendServer | None) -> bool:
         """Tell whether a report is of the start that is listed now."""
--- a/gypsumshift/jobs/rewardlimiter.py
+++ b/gypsumshift/jobs/rewardlimiter.py
@@ -75,9 +75,9 @@
         route = routes.find(reward.host, reward.path) if reward else None
         if route is None:
             return
-        servers = self.directory.service(route.service_for(reward.id))
+        servers = self.directory.ready_servers(route.service_for(reward.id))
         places = sum(server.slots for server in servers)
-        self.set_share(share_of_places(places, len(self.directory.engines())))
+        self.set_share(share_of_places(places, len(self.directory.ready_engines())))
 
     def set_share(self, share: float) -> None:
         """Let so many calls be under way; see `share_of_places`."""
--- a/gypsumshift/jobs/weights.py
+++ b/gypsumshift/jobs/weights.py
@@ -83,7 +83,9 @@
         if known is None or job.step >= known.step:
             self.newest_jobs[job.model] = job
         if job.oldest_version > FIRST_VERSION:
-            newest = self.local_engine.directory.newest.get(job.model, FIRST_VERSION)
+            newest = self.local_engine.directory.newest_versions.get(
+                job.model, FIRST_VERSION
+            )
             self.slack[job.model] = max(0, newest - job.oldest_version)
 
     def placed(self) -> dict[str, tuple[str, ...]]:
@@ -173,7 +175,7 @@
         engines : list of str
             Ids of the engines that serve the model, this one among them.
         """
-        newest = self.local_engine.directory.newest.get(model, FIRST_VERSION)
+        newest = self.local_engine.directory.newest_versions.get(model, FIRST_VERSION)
         servers = self.local_engine.directory.servers
         seen, since = self.named_at.get(model, (0, 0.0))
         now = self.clock.monotonic()
--- a/gypsumshift/lifecycle.py
+++ b/gypsumshift/lifecycle.py
@@ -15,7 +15,7 @@
 from gypsumshift.neighbours import Neighbourhood
 from gypsumshift.server import BODY_LIMIT, Handler, Server
 from gypsumshift.serving.directory import Directory
-from gypsumshift.serving.pool import Pool
+from gypsumshift.serving.loadbalancer import LoadBalancer
 from gypsumshift.watch import Watch, run_all
 
 __all__ = ["Node", "Port", "serve"]
@@ -54,7 +54,7 @@
     directory : Directory
     watches : list of Watch
         Keep the directory and whatever else current.
-    pool : Pool
+    balancer : LoadBalancer
     clock : Clock
 
     Attributes
@@ -66,11 +66,15 @@
     body_limit = BODY_LIMIT
 
     def __init__(
-        self, directory: Directory, watches: list[Watch], pool: Pool, clock: Clock
+        self,
+        directory: Directory,
+        watches: list[Watch],
+        balancer: LoadBalancer,
+        clock: Clock,
     ):
         self.directory = directory
         self.watches = list(watches)
-        self.pool = pool
+        self.balancer = balancer
         self.clock = clock
         self.ports: list[Port] = []
         self.joining: list[Callable[[], Coroutine]] = []
@@ -107,8 +111,10 @@
 
     async def sweep(self) -> None:
         """Forget the backend servers that are gone."""
-        self.directory.settle(self.clock.monotonic())
-        self.pool.prune({server.start for server in self.directory.servers.values()})
+        self.directory.forget_missing_servers(self.clock.monotonic())
+        self.balancer.prune(
+            {server.start for server in self.directory.servers.values()}
+        )
 
     def work(self) -> list[Coroutine]:
         """Return what else this process does until it is cancelled."""
--- a/gypsumshift/serving/admission.py
+++ b/gypsumshift/serving/authorization.py
@@ -12,14 +12,14 @@
 from gypsumshift import logs
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import CannotTell
-from gypsumshift.serving.currency import Currency
 from gypsumshift.serving.directory import Directory
+from gypsumshift.serving.freshness import ConfigFreshness
 from gypsumshift.workspaces import key_digest
 
 __all__ = [
-    "ANYONE",
-    "WITHDRAWN",
-    "Admission",
+    "KEYLESS_GRANT",
+    "KEY_NOT_CONFIRMED",
+    "Authorizer",
     "Grant",
     "UnknownKey",
     "Verdict",
@@ -32,7 +32,7 @@
 UNKNOWN_AGE = 0.5
 # Seconds that a log line tells at the most of an age that has no end.
 LONGEST_TOLD = 1e6
-WITHDRAWN = "the key may not be good any more"
+KEY_NOT_CONFIRMED = "the key may not be good any more"
 
 log = logs.logger("admission")
 
@@ -52,51 +52,53 @@
         Name of the workspace for which it runs; empty for none.
     digest : str
         Of the key; see `key_digest`.
-    admission : Admission or None
+    authorizer : Authorizer or None
         Asked again before each send; None where no key is needed.
     """
 
     workspace: str = ""
     digest: str = ""
-    admission: "Admission | None" = attrs.field(default=None, repr=False)
+    authorizer: "Authorizer | None" = attrs.field(default=None, repr=False)
 
     @property
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether a server may still be sent the request.
 
         A host that was suspended since the request came, or that lost the store while
         the request waited, must not act on what it knew before.
         """
-        return self.admission is None or self.admission.holds(self)
+        return self.authorizer is None or self.authorizer.is_grant_valid(self)
 
 
 # Leave for what needs no key.
-ANYONE = Grant()
+KEYLESS_GRANT = Grant()
 Verdict = Grant | UnknownKey | CannotTell
 
 
-class Admission:
+class Authorizer:
     """Decides by the configuration that is known here, and by its age.
 
     Parameters
     ----------
     directory : Directory
-    currency : Currency
+    freshness : ConfigFreshness
     metrics : Metrics
     """
 
-    def __init__(self, directory: Directory, currency: Currency, metrics: Metrics):
+    def __init__(
+        self, directory: Directory, freshness: ConfigFreshness, metrics: Metrics
+    ):
         self.directory = directory
-        self.currency = currency
+        self.freshness = freshness
         self.metrics = metrics
 
     @property
     def ready(self) -> bool:
         """Whether callers with keys should come here."""
         required = self.directory.routes.workspaces.required
-        return not required or self.currency.ready
+        return not required or self.freshness.ready
 
-    async def admit(self, request: str, key: str, public: bool = False) -> Verdict:
+    async def authorize(self, request: str, key: str, public: bool = False) -> Verdict:
         """Return whether a request may run.
 
         Parameters
@@ -111,7 +113,7 @@
         if not self.directory.routes.version:
             return self.noted(request, cannot_tell("no configuration yet"))
         if public or not self.directory.routes.workspaces.required:
-            return ANYONE
+            return KEYLESS_GRANT
         return self.noted(request, await self.look_up(key, lasting=True))
 
     def noted(self, request: str, verdict: Verdict) -> Verdict:
@@ -126,7 +128,7 @@
                 verdict=name,
                 reason=getattr(verdict, "reason", "no workspace has the key"),
                 configuration=self.directory.routes.version,
-                confirmed_s_ago=round(min(self.currency.age, LONGEST_TOLD), 3),
+                confirmed_s_ago=round(min(self.freshness.age, LONGEST_TOLD), 3),
             )
         return verdict
 
@@ -139,7 +141,7 @@
         if not self.directory.routes.version:
             return self.noted(request, cannot_tell("no configuration yet"))
         if not key or not self.directory.routes.workspaces.required:
-            return ANYONE
+            return KEYLESS_GRANT
         return self.noted(request, await self.look_up(key, lasting=False))
 
     async def look_up(self, key: str, lasting: bool) -> Verdict:
@@ -154,7 +156,7 @@
         digest = key_digest(key)
         verdict = self.decide(digest, lasting)
         if isinstance(verdict, CannotTell):
-            await self.currency.confirm()
+            await self.freshness.confirm()
             verdict = self.decide(digest, lasting)
         return verdict
 
@@ -162,18 +164,18 @@
         """Return what is known of a key here and now."""
         workspace = self.directory.routes.workspaces.find(digest)
         if workspace is None:
-            if self.currency.age <= UNKNOWN_AGE:
+            if self.freshness.age <= UNKNOWN_AGE:
                 return UnknownKey()
             return cannot_tell("a newer configuration may hold the key")
-        if lasting and not self.currency.holds:
+        if lasting and not self.freshness.keys_accepted:
             return cannot_tell("a newer configuration may have taken the key away")
         return Grant(workspace.name, digest, self)
 
-    def holds(self, grant: Grant) -> bool:
+    def is_grant_valid(self, grant: Grant) -> bool:
         """Tell whether a key is still the same workspace's, as far as can be known."""
         workspace = self.directory.routes.workspaces.find(grant.digest)
         known = workspace is not None and workspace.name == grant.workspace
-        return known and self.currency.holds
+        return known and self.freshness.keys_accepted
 
 
 def cannot_tell(reason: str) -> CannotTell:
--- a/gypsumshift/serving/calls.py
+++ b/gypsumshift/serving/calls.py
@@ -5,11 +5,11 @@
 import attrs
 
 from gypsumshift.outcomes import Answered
-from gypsumshift.serving.admission import ANYONE, Grant
+from gypsumshift.serving.authorization import KEYLESS_GRANT, Grant
 from gypsumshift.serving.fingerprints import fingerprint
 from gypsumshift.serving.routes import RequestKind, Route
 
-__all__ = ["Attempt", "Call", "Failed", "Refused"]
+__all__ = ["AttemptOutcome", "Call", "Failed", "Refused"]
 
 
 @attrs.define
@@ -47,7 +47,7 @@
     route: Route
     deadline: float
     suspect: bool = False
-    grant: Grant = ANYONE
+    grant: Grant = KEYLESS_GRANT
     counted: bool = False
 
     @functools.cached_property
@@ -100,4 +100,4 @@
         return self.sent and self.gone
 
 
-Attempt = Answered | Refused | Failed
+AttemptOutcome = Answered | Refused | Failed
--- a/gypsumshift/serving/directory.py
+++ b/gypsumshift/serving/directory.py
@@ -103,15 +103,15 @@
 
     def __init__(self):
         self.routes = RouteTable()
-        self.outdated = False
+        self.config_unreadable = False
         self.servers: dict[str, BackendServer] = {}
-        self.newest: dict[str, int] = {}
-        self.born: dict[str, int] = {}
+        self.newest_versions: dict[str, int] = {}
+        self.newest_starts: dict[str, int] = {}
         self.on_restart: list[Callable[[BackendServer], None]] = []
         self.missing: dict[str, float] = {}
         self.changed = asyncio.Event()
 
-    def announce(self) -> None:
+    def notify_changed(self) -> None:
         """Wake whoever waits for a change."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -120,7 +120,7 @@
         """Put a configuration in force, unless a newer one is."""
         if routes.version < self.routes.version:
             return
-        self.outdated = False
+        self.config_unreadable = False
         if routes.version == self.routes.version:
             return
         previous = self.routes.version
@@ -128,19 +128,19 @@
         logs.event(
             log, "A configuration is in force.", version=routes.version, was=previous
         )
-        self.announce()
+        self.notify_changed()
 
-    def set_version(self, model: str, version: int) -> None:
+    def set_weight_version(self, model: str, version: int) -> None:
         """Take a newer weight version of a model."""
-        if version <= self.newest.get(model, 0):
+        if version <= self.newest_versions.get(model, 0):
             return
-        self.newest[model] = version
+        self.newest_versions[model] = version
         logs.event(log, "New weights are named.", model=model, version=version)
-        self.announce()
+        self.notify_changed()
 
     def set_server(self, server: BackendServer) -> None:
         """Take what a backend server says of itself, unless a newer start did."""
-        if server.born < self.born.get(server.id, 0):
+        if server.born < self.newest_starts.get(server.id, 0):
             log.debug("An entry of an older start of {} came late.", server.id)
             return
         old = self.servers.get(server.id)
@@ -159,15 +159,15 @@
                 address=server.address,
                 ready=server.ready,
             )
-        self.announce()
+        self.notify_changed()
 
     def note_born(self, server: BackendServer) -> None:
         """Remember the newest start of an id."""
         if server.born:
-            self.born.pop(server.id, None)
-            self.born[server.id] = server.born
-        while len(self.born) > STARTS_KEPT:
-            del self.born[next(iter(self.born))]
+            self.newest_starts.pop(server.id, None)
+            self.newest_starts[server.id] = server.born
+        while len(self.newest_starts) > STARTS_KEPT:
+            del self.newest_starts[next(iter(self.newest_starts))]
 
     def end_start(self, old: BackendServer, new: BackendServer) -> None:
         """Take that a backend server started again: its old start is no more."""
@@ -184,7 +184,9 @@
         for told in self.on_restart:
             told(old)
 
-    def remove_server(self, server_id: str, store_back_at: float, now: float) -> None:
+    def handle_removed_entry(
+        self, server_id: str, store_back_at: float, now: float
+    ) -> None:
         """Take that an entry is gone.
 
         Parameters
@@ -203,7 +205,7 @@
             return
         self.forget_server(server_id)
 
-    def settle(self, now: float) -> None:
+    def forget_missing_servers(self, now: float) -> None:
         """Forget the servers whose entries did not come back."""
         for server_id in [s for s, until in self.missing.items() if until <= now]:
             self.forget_server(server_id)
@@ -213,14 +215,14 @@
         self.missing.pop(server_id, None)
         if self.servers.pop(server_id, None) is not None:
             logs.event(log, "A backend server is gone.", server=server_id)
-            self.announce()
+            self.notify_changed()
 
-    def service(self, name: str) -> list[BackendServer]:
+    def ready_servers(self, name: str) -> list[BackendServer]:
         """Return the ready backend servers of a service, by id."""
         found = [s for s in self.servers.values() if s.service == name and s.ready]
         return sorted(found, key=lambda server: server.id)
 
-    def engines(self) -> list[BackendServer]:
+    def ready_engines(self) -> list[BackendServer]:
         """Return the ready model engines of all services."""
         services = self.routes.services
         engine = {name for name, service in services.items() if service.engine}
--- a/gypsumshift/serving/forwarder.py
+++ b/gypsumshift/serving/forwarder.py
@@ -15,8 +15,8 @@
 from gypsumshift import logs
 from gypsumshift.outcomes import Answered, HeldBack, NotRun, Unknown
 from gypsumshift.policy import DEFAULT, Policy
-from gypsumshift.serving.admission import WITHDRAWN
-from gypsumshift.serving.calls import Attempt, Call, Failed, Refused
+from gypsumshift.serving.authorization import KEY_NOT_CONFIRMED
+from gypsumshift.serving.calls import AttemptOutcome, Call, Failed, Refused
 from gypsumshift.serving.directory import BackendServer, ServerStart
 from gypsumshift.serving.guard import REASON, Guard, Permit
 from gypsumshift.serving.lateends import LateEnds
@@ -101,12 +101,12 @@
         self.sender = sender
         self.guard = guard
         self.directory = sender.directory
-        self.pool = sender.pool
+        self.balancer = sender.balancer
         self.clock = sender.clock
         self.metrics = sender.metrics
         self.trials: set[asyncio.Task] = set()
         self.late_ends = LateEnds(
-            guard, self.pool, self.directory, sender.fetcher, self.clock
+            guard, self.balancer, self.directory, sender.fetcher, self.clock
         )
 
     async def forward(self, call: Call) -> Answered | NotRun | Unknown:
@@ -127,7 +127,7 @@
     ) -> Answered | NotRun | Unknown:
         """Return what became of a call that the guard lets through."""
         service = call.route.service_for(call.id)
-        race = Race(call, self.directory.service(service), permit)
+        race = Race(call, self.directory.ready_servers(service), permit)
         started = self.clock.monotonic()
         outcome = None
         try:
@@ -194,8 +194,8 @@
 
     def barred(self, race: Race) -> str:
         """Return why no more attempt may be made; empty where one may."""
-        if not race.call.grant.holds:
-            return WITHDRAWN
+        if not race.call.grant.is_valid:
+            return KEY_NOT_CONFIRMED
         allowed = self.guard.allows(race.permit, len(race.running), bool(race.ran))
         return "" if allowed else REASON
 
@@ -203,7 +203,7 @@
         """Start one more attempt where that is allowed; return whether it was."""
         if race.spent or self.barred(race):
             return False
-        server = self.pool.choose(race.servers, race.involved)
+        server = self.balancer.choose(race.servers, race.involved)
         if server is None:
             return False
         task = asyncio.create_task(self.sender.attempt(race.call, server))
@@ -218,10 +218,10 @@
         race.refused.clear()
         await asyncio.sleep(min(FULL_PAUSE * race.rounds, left))
         service = race.call.route.service_for(race.call.id)
-        race.servers = self.directory.service(service)
+        race.servers = self.directory.ready_servers(service)
         return True
 
-    def judge(self, race: Race, server, outcome: Attempt) -> Answered | None:
+    def judge(self, race: Race, server, outcome: AttemptOutcome) -> Answered | None:
         """Take the end of one attempt; return an answer that settles the call."""
         if isinstance(outcome, Refused):
             race.refused.add(server.start)
--- a/gypsumshift/serving/currency.py
+++ b/gypsumshift/serving/freshness.py
@@ -17,7 +17,7 @@
 from gypsumshift.serving.directory import Directory
 from gypsumshift.watch import Watch
 
-__all__ = ["Currency"]
+__all__ = ["ConfigFreshness"]
 
 # Part of the bound that is used: the rest is for clocks that differ in their pace, and
 # for the time between a request's arrival and the look at the clock.
@@ -30,7 +30,7 @@
 CONFIRM_TIMEOUT = 0.1
 
 
-class Currency:
+class ConfigFreshness:
     """Tells whether what is known of the configuration may be gone by.
 
     Parameters
@@ -59,12 +59,12 @@
     @property
     def age(self) -> float:
         """Seconds since the begin of the exchange that confirmed the configuration."""
-        if self.directory.outdated:
+        if self.directory.config_unreadable:
             return math.inf
         return self.clock.elapsed() - self.watch.confirmed_at
 
     @property
-    def holds(self) -> bool:
+    def keys_accepted(self) -> bool:
         """Whether a key may be taken for good."""
         return self.bound == math.inf or self.age < BOUND_SHARE * self.bound
 
--- a/gypsumshift/serving/lateends.py
+++ b/gypsumshift/serving/lateends.py
@@ -15,7 +15,7 @@
 from gypsumshift.serving.directory import BackendServer, Directory
 from gypsumshift.serving.guard import Guard, Permit
 from gypsumshift.serving.liveness import is_gone
-from gypsumshift.serving.pool import Pool
+from gypsumshift.serving.loadbalancer import LoadBalancer
 
 __all__ = ["LateEnds"]
 
@@ -35,7 +35,7 @@
     ----------
     guard : Guard
         Told of those that ended.
-    pool : Pool
+    balancer : LoadBalancer
     directory : Directory
     fetcher : Fetcher
     clock : Clock
@@ -44,13 +44,13 @@
     def __init__(
         self,
         guard: Guard,
-        pool: Pool,
+        balancer: LoadBalancer,
         directory: Directory,
         fetcher: Fetcher,
         clock: Clock,
     ):
         self.guard = guard
-        self.pool = pool
+        self.balancer = balancer
         self.directory = directory
         self.fetcher = fetcher
         self.clock = clock
@@ -82,7 +82,7 @@
 
     def note(self, permit: Permit, server: BackendServer) -> None:
         """Take that a server ended under a request that was cut there."""
-        self.pool.crashed(server)
+        self.balancer.record_gone(server)
         self.guard.note_end(permit, server.start)
         self.guard.close(permit, ran=True)
         logs.event(
--- a/gypsumshift/serving/pool.py
+++ b/gypsumshift/serving/loadbalancer.py
@@ -16,9 +16,9 @@
 from gypsumshift.ejection import Ejection
 from gypsumshift.policy import DEFAULT, Policy
 from gypsumshift.serving.directory import BackendServer, ServerStart
-from gypsumshift.serving.sightings import Sighting, Sightings
+from gypsumshift.serving.observations import Observation, Observations
 
-__all__ = ["Pool", "Record"]
+__all__ = ["LoadBalancer", "ServerStats"]
 
 # Share by which a server of another zone looks busier. Zones lie 3 ms apart there
 # and back, a tenth of a short service time of 30 ms; bytes between zones are dear.
@@ -47,7 +47,7 @@
 SLOWEST_FACTOR = 8.0
 # Seconds for which own sight goes before what others saw: an entry host that has a
 # request every ten seconds saw a server last before it turned slow.
-OWN_FRESH = 1.0
+OWN_FRESH_SECONDS = 1.0
 # A server that others saw to fail counts as slower by this, times its share: one that
 # fails four of ten is then chosen like one that takes four times as long.
 FAILED_COST = 8.0
@@ -59,7 +59,7 @@
 
 
 @attrs.define
-class Record:
+class ServerStats:
     """What one process has seen of one backend server.
 
     Attributes
@@ -89,11 +89,11 @@
     failures: int = 0
     failed_share: float = 0.0
     ejections: int = 0
-    until: float = 0.0
+    avoided_until: float = 0.0
     seen_at: float = -math.inf
 
 
-class Pool:
+class LoadBalancer:
     """Chooses among backend servers, and learns from their answers.
 
     Parameters
@@ -124,20 +124,22 @@
         self.zone = zone
         self.clock = clock
         self.chance = chance
-        self.records: dict[ServerStart, Record] = {}
-        self.shared = Sightings(clock)
-        self.connected: Callable[[tuple[str, int]], bool] = lambda address: False
+        self.stats_by_start: dict[ServerStart, ServerStats] = {}
+        self.shared_observations = Observations(clock)
+        self.has_idle_connection: Callable[[tuple[str, int]], bool] = lambda address: (
+            False
+        )
 
-    def record(self, server: BackendServer) -> Record:
+    def stats(self, server: BackendServer) -> ServerStats:
         """Return what is known of a start of a server."""
-        return self.records.setdefault(server.start, Record())
+        return self.stats_by_start.setdefault(server.start, ServerStats())
 
     def prune(self, known: set[ServerStart]) -> None:
         """Forget starts of servers that are not listed any more."""
-        for start in [s for s in self.records if s not in known]:
-            if not self.records[start].outstanding:
-                del self.records[start]
-        self.shared.prune(known)
+        for start in [s for s in self.stats_by_start if s not in known]:
+            if not self.stats_by_start[start].outstanding:
+                del self.stats_by_start[start]
+        self.shared_observations.prune(known)
 
     def choose(
         self, servers: list[BackendServer], avoid: set[ServerStart]
@@ -155,78 +157,80 @@
         if not left:
             return None
         now = self.clock.monotonic()
-        healthy = [s for s in left if self.record(s).until <= now]
+        healthy = [s for s in left if self.stats(s).avoided_until <= now]
         if not healthy:
-            return min(left, key=lambda server: self.record(server).until)
+            return min(left, key=lambda server: self.stats(server).avoided_until)
         usual = self.usual_latency(servers)
         return min(healthy, key=lambda s: (self.cost(s, usual), self.chance.random()))
 
     def usual_latency(self, servers: list[BackendServer]) -> float:
         """Return the median time to an answer over the pool, in seconds."""
-        known = sorted(r.latency for s in servers if (r := self.record(s)).latency)
+        known = sorted(r.latency for s in servers if (r := self.stats(s)).latency)
         return known[(len(known) - 1) // 2] if known else 0.0
 
     def cost(self, server: BackendServer, usual: float) -> float:
         """Return how long a request would take there, in usual service times."""
-        record = self.record(server)
+        record = self.stats(server)
         sighting = self.sighting(server, usual)
-        told = aged(sighting.busy, self.clock.monotonic() - sighting.at)
+        told = aged(sighting.busy, self.clock.monotonic() - sighting.observed_at)
         busy = max(told, record.outstanding)
         slowness = min(max(sighting.slowness, 1.0), SLOWEST_FACTOR)
         penalty = 0.0 if server.zone == self.zone else OTHER_ZONE_PENALTY
-        if not self.connected(server.address):
+        if not self.has_idle_connection(server.address):
             penalty += NEW_CONNECTION_PENALTY
         return (1.0 + busy / max(server.slots, 1)) * slowness + penalty
 
-    def sighting(self, server: BackendServer, usual: float) -> Sighting:
+    def sighting(self, server: BackendServer, usual: float) -> Observation:
         """Return what to go by: own sight while it is fresh, else the newest there is.
 
         What others saw to fail counts as slow; own failures eject.
         """
         own = self.own_sighting(server, usual)
-        other = self.shared.of(server.start)
-        fresh = self.clock.monotonic() - self.record(server).seen_at < OWN_FRESH
-        if fresh or other is None or other.at <= own.at:
+        other = self.shared_observations.get(server.start)
+        fresh = self.clock.monotonic() - self.stats(server).seen_at < OWN_FRESH_SECONDS
+        if fresh or other is None or other.observed_at <= own.observed_at:
             return own
         slowness = max(other.slowness, 1.0) * (1.0 + FAILED_COST * other.failed)
         return attrs.evolve(other, slowness=slowness)
 
-    def own_sighting(self, server: BackendServer, usual: float) -> Sighting:
+    def own_sighting(self, server: BackendServer, usual: float) -> Observation:
         """Return what this process saw of a server."""
-        record = self.record(server)
+        record = self.stats(server)
         slowness = record.latency / usual if usual else 0.0
         at = max(record.busy_at, record.seen_at)
         busy = aged(record.busy, at - record.busy_at)
-        return Sighting(server.start, slowness, busy, record.failed_share, at)
+        return Observation(server.start, slowness, busy, record.failed_share, at)
 
-    def note_own(self, servers: list[BackendServer]) -> None:
+    def share_own_observations(self, servers: list[BackendServer]) -> None:
         """Put what this process saw beside what others did, to be told to others."""
         by_service: dict[str, list[BackendServer]] = {}
         for server in servers:
-            if server.start in self.records:
+            if server.start in self.stats_by_start:
                 by_service.setdefault(server.service, []).append(server)
         for mates in by_service.values():
             usual = self.usual_latency(mates)
-            self.shared.take(self.own_sighting(mate, usual) for mate in mates)
+            self.shared_observations.merge(
+                self.own_sighting(mate, usual) for mate in mates
+            )
 
-    def sent(self, server: BackendServer) -> None:
+    def record_sent(self, server: BackendServer) -> None:
         """Count a request that goes out."""
-        self.record(server).outstanding += 1
+        self.stats(server).outstanding += 1
 
-    def ended(self, server: BackendServer) -> None:
+    def record_finished(self, server: BackendServer) -> None:
         """Count a request that ended, however."""
-        record = self.record(server)
+        record = self.stats(server)
         record.outstanding = max(0, record.outstanding - 1)
 
-    def told(self, server: BackendServer, busy: float) -> None:
+    def record_load(self, server: BackendServer, busy: float) -> None:
         """Take the load that an answer carried."""
-        record = self.record(server)
+        record = self.stats(server)
         record.busy = busy
         record.busy_at = self.clock.monotonic()
 
-    def answered(self, server: BackendServer, took: float) -> None:
+    def record_success(self, server: BackendServer, took: float) -> None:
         """Take a good answer that came after ``took`` seconds."""
-        record = self.record(server)
+        record = self.stats(server)
         record.seen_at = self.clock.monotonic()
         record.failures = 0
         record.ejections = 0
@@ -235,32 +239,34 @@
             record.latency = took
         record.latency += AVERAGE_WEIGHT * (took - record.latency)
 
-    def waited(self, server: BackendServer, took: float) -> None:
+    def record_wait(self, server: BackendServer, took: float) -> None:
         """Take an answer that has not come after ``took`` seconds."""
-        record = self.record(server)
+        record = self.stats(server)
         record.seen_at = self.clock.monotonic()
         if took > record.latency:
             record.latency += AVERAGE_WEIGHT * (took - record.latency)
 
-    def replaced(self, server: BackendServer) -> None:
+    def record_replaced(self, server: BackendServer) -> None:
         """Take that another server stands at its address now."""
-        self.record(server).until = self.clock.monotonic() + GONE
+        self.stats(server).avoided_until = self.clock.monotonic() + GONE
 
-    def crashed(self, server: BackendServer) -> None:
+    def record_gone(self, server: BackendServer) -> None:
         """Take that a server is gone.
 
         No failure of its own: whatever ended it, it is sound when it is back, which
         one that tells no start does under the same record.
         """
-        before = self.record(server)
+        before = self.stats(server)
         now = self.clock.monotonic()
-        self.records[server.start] = Record(
-            outstanding=before.outstanding, until=now + DOWN_PAUSE, seen_at=now
+        self.stats_by_start[server.start] = ServerStats(
+            outstanding=before.outstanding, avoided_until=now + DOWN_PAUSE, seen_at=now
         )
 
-    def failed(self, server: BackendServer, servers: list[BackendServer]) -> bool:
+    def record_failure(
+        self, server: BackendServer, servers: list[BackendServer]
+    ) -> bool:
         """Take a failure; return whether the server is avoided from now on."""
-        record = self.record(server)
+        record = self.stats(server)
         record.seen_at = self.clock.monotonic()
         record.failures += 1
         record.failed_share += AVERAGE_WEIGHT * (1 - record.failed_share)
@@ -270,13 +276,13 @@
             return False
         return self.eject(record, servers)
 
-    def eject(self, record: Record, servers: list[BackendServer]) -> bool:
+    def eject(self, record: ServerStats, servers: list[BackendServer]) -> bool:
         """Avoid a server for a while, unless too many are avoided already."""
         now = self.clock.monotonic()
-        out = sum(1 for server in servers if self.record(server).until > now)
+        out = sum(1 for server in servers if self.stats(server).avoided_until > now)
         if not EJECTION.allowed(out, len(servers)):
             return False
-        record.until = now + EJECTION.pause(record.ejections, self.chance)
+        record.avoided_until = now + EJECTION.pause(record.ejections, self.chance)
         record.ejections += 1
         return True
 
--- a/gypsumshift/serving/sightings.py
+++ b/gypsumshift/serving/observations.py
@@ -15,13 +15,13 @@
 from gypsumshift.clock import Clock
 from gypsumshift.serving.directory import ServerStart
 
-__all__ = ["Sighting", "Sightings", "decode", "encode"]
+__all__ = ["Observation", "Observations", "decode", "encode"]
 
 # Seconds for which what others saw counts. Servers were seen to be slow for 5 to 8 s.
-MOST_AGE = 4.0
+MAX_AGE_SECONDS = 4.0
 # Servers in one digest: with its header fields some 0.7 KB, four times a second in and
 # out, whatever the size of the fleet.
-MOST_TOLD = 8
+MAX_DIGEST_SIZE = 8
 # A server that took this many times the usual time, or failed such a share of its
 # requests, is told before others: knowing of it saves a caller's wait.
 NOTABLE_SLOWNESS = 2.0
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class Sighting:
+class Observation:
     """What a process saw of one start of a backend server.
 
     Attributes
@@ -53,7 +53,7 @@
     slowness: float
     busy: float
     failed: float
-    at: float
+    observed_at: float
 
     @property
     def notable(self) -> bool:
@@ -61,7 +61,7 @@
         return self.slowness > NOTABLE_SLOWNESS or self.failed > NOTABLE_FAILED
 
 
-class Sightings:
+class Observations:
     """The newest sighting of each start of a backend server.
 
     Parameters
@@ -71,39 +71,42 @@
 
     def __init__(self, clock: Clock):
         self.clock = clock
-        self.newest: dict[ServerStart, Sighting] = {}
+        self.newest: dict[ServerStart, Observation] = {}
 
-    def take(self, sightings: Iterable[Sighting]) -> None:
+    def merge(self, sightings: Iterable[Observation]) -> None:
         """Take sightings; older ones than those known are left out."""
         for sighting in sightings:
             known = self.newest.get(sighting.start)
-            if known is None or known.at < sighting.at:
+            if known is None or known.observed_at < sighting.observed_at:
                 self.newest[sighting.start] = sighting
 
-    def of(self, start: ServerStart) -> Sighting | None:
+    def get(self, start: ServerStart) -> Observation | None:
         """Return what was seen of a start of a server, while it counts."""
         sighting = self.newest.get(start)
-        if sighting is None or self.clock.monotonic() - sighting.at > MOST_AGE:
+        if (
+            sighting is None
+            or self.clock.monotonic() - sighting.observed_at > MAX_AGE_SECONDS
+        ):
             return None
         return sighting
 
     def prune(self, known: set[ServerStart]) -> None:
         """Forget starts that are not listed, and what is too old to count."""
         for start in list(self.newest):
-            if start not in known or self.of(start) is None:
+            if start not in known or self.get(start) is None:
                 del self.newest[start]
 
-    def digest(self) -> list[Sighting]:
+    def digest(self) -> list[Observation]:
         """Return what to tell others: servers to keep away from first, then the newest.
 
         Its size does not depend on the number of servers.
         """
-        counted = [s for s in self.newest.values() if self.of(s.start) is not None]
-        counted.sort(key=lambda s: (not s.notable, -s.at))
-        return counted[:MOST_TOLD]
+        counted = [s for s in self.newest.values() if self.get(s.start) is not None]
+        counted.sort(key=lambda s: (not s.notable, -s.observed_at))
+        return counted[:MAX_DIGEST_SIZE]
 
 
-def encode(sightings: list[Sighting], now: float) -> list[list]:
+def encode(sightings: list[Observation], now: float) -> list[list]:
     """Return sightings as JSON holds them, with their ages in place of times."""
     return [
         [
@@ -112,20 +115,20 @@
             round(s.slowness, 2),
             round(s.busy, 1),
             round(s.failed, 2),
-            round(now - s.at, 2),
+            round(now - s.observed_at, 2),
         ]
         for s in sightings
     ]
 
 
-def decode(rows: object, now: float) -> list[Sighting]:
+def decode(rows: object, now: float) -> list[Observation]:
     """Return the sightings that another process told; raises ValueError."""
     if not isinstance(rows, list):
         raise ValueError("no list of sightings")
-    return [decode_row(row, now) for row in rows[:MOST_TOLD]]
+    return [decode_row(row, now) for row in rows[:MAX_DIGEST_SIZE]]
 
 
-def decode_row(row: object, now: float) -> Sighting:
+def decode_row(row: object, now: float) -> Observation:
     """Return one sighting; raises ValueError."""
     if not isinstance(row, list) or len(row) != 6:
         raise ValueError("no sighting")
@@ -133,7 +136,7 @@
     if not isinstance(server, str) or type(born) is not int:
         raise ValueError("a sighting of no server")
     slowness, busy, failed, age = map(decode_figure, figures)
-    return Sighting(
+    return Observation(
         ServerStart(server, born),
         min(max(slowness, 0.0), MOST_SLOWNESS),
         min(max(busy, 0.0), MOST_BUSY),
--- a/gypsumshift/serving/answers.py
+++ b/gypsumshift/serving/responses.py
@@ -4,7 +4,7 @@
 from gypsumshift.serving.calls import Refused
 from gypsumshift.serving.headers import HOP_BY_HOP, HeaderNames
 
-__all__ = ["foreign_id", "passed_headers", "refusal"]
+__all__ = ["mismatched_request_id", "end_to_end_headers", "parse_refusal"]
 
 # HTTP status of a server that is not the one expected at its address.
 MISDIRECTED = 421
@@ -12,7 +12,7 @@
 NOT_RUN_STATUSES = (429, 503, 400)
 
 
-def refusal(exchange: Exchange, names: HeaderNames) -> Refused | None:
+def parse_refusal(exchange: Exchange, names: HeaderNames) -> Refused | None:
     """Return the refusal that an answer is; None where the request may have run."""
     if exchange.status == MISDIRECTED:
         return Refused("another server is there", True)
@@ -22,7 +22,9 @@
     return None
 
 
-def foreign_id(exchange: Exchange, names: HeaderNames, request_id: str) -> str:
+def mismatched_request_id(
+    exchange: Exchange, names: HeaderNames, request_id: str
+) -> str:
     """Return the id of the request that an answer belongs to; ``""`` for ours.
 
     A faulty server may send the answer to another request.
@@ -31,7 +33,7 @@
     return "" if echoed == request_id else echoed
 
 
-def passed_headers(exchange: Exchange) -> tuple[tuple[str, str], ...]:
+def end_to_end_headers(exchange: Exchange) -> tuple[tuple[str, str], ...]:
     """Return the header fields that a caller gets, without those of a connection."""
     return tuple(
         (key.decode(), value.decode("latin-1"))
--- a/gypsumshift/serving/sender.py
+++ b/gypsumshift/serving/sender.py
@@ -9,13 +9,17 @@
 from gypsumshift.fetch import Exchange, Fetcher, FetchError, Withheld
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import Answered
-from gypsumshift.serving.admission import WITHDRAWN
-from gypsumshift.serving.answers import foreign_id, passed_headers, refusal
-from gypsumshift.serving.calls import Attempt, Call, Failed, Refused
+from gypsumshift.serving.authorization import KEY_NOT_CONFIRMED
+from gypsumshift.serving.calls import AttemptOutcome, Call, Failed, Refused
 from gypsumshift.serving.directory import BackendServer, Directory
 from gypsumshift.serving.headers import HOP_BY_HOP, HeaderNames
 from gypsumshift.serving.liveness import is_gone
-from gypsumshift.serving.pool import Pool
+from gypsumshift.serving.loadbalancer import LoadBalancer
+from gypsumshift.serving.responses import (
+    end_to_end_headers,
+    mismatched_request_id,
+    parse_refusal,
+)
 from gypsumshift.usage import UsageCounter
 
 __all__ = ["Sender"]
@@ -35,7 +39,7 @@
     Parameters
     ----------
     directory : Directory
-    pool : Pool
+    balancer : LoadBalancer
     fetcher : Fetcher
     names : HeaderNames
     clock : Clock
@@ -44,34 +48,34 @@
         Told of the requests that servers began to run.
     """
 
-    def __init__(self, directory, pool, fetcher, names, clock, metrics, usage=None):
+    def __init__(self, directory, balancer, fetcher, names, clock, metrics, usage=None):
         self.directory: Directory = directory
-        self.pool: Pool = pool
+        self.balancer: LoadBalancer = balancer
         self.fetcher: Fetcher = fetcher
         self.names: HeaderNames = names
         self.clock: Clock = clock
         self.metrics: Metrics = metrics
         self.usage: UsageCounter | None = usage
 
-    async def attempt(self, call: Call, server: BackendServer) -> Attempt:
+    async def attempt(self, call: Call, server: BackendServer) -> AttemptOutcome:
         """Send a call to one server and read its answer."""
-        self.pool.sent(server)
+        self.balancer.record_sent(server)
         started = self.clock.monotonic()
         sent_at = self.clock.now().timestamp()
         try:
             outcome = await self.exchange(call, server)
         except asyncio.CancelledError:
-            self.note_run(call, sent_at)
-            self.pool.waited(server, self.clock.monotonic() - started)
+            self.count_run(call, sent_at)
+            self.balancer.record_wait(server, self.clock.monotonic() - started)
             raise
         finally:
-            self.pool.ended(server)
+            self.balancer.record_finished(server)
         if isinstance(outcome, Answered) or getattr(outcome, "sent", False):
-            self.note_run(call, sent_at)
-        self.learn(call, server, outcome, self.clock.monotonic() - started)
+            self.count_run(call, sent_at)
+        self.record_outcome(call, server, outcome, self.clock.monotonic() - started)
         return outcome
 
-    def note_run(self, call: Call, at: float) -> None:
+    def count_run(self, call: Call, at: float) -> None:
         """Count a request that a server began to run, however often it is sent.
 
         Parameters
@@ -86,24 +90,26 @@
         call.counted = True
         self.usage.note(call.grant.workspace, at)
 
-    def learn(self, call, server, outcome: Attempt, took: float) -> None:
+    def record_outcome(
+        self, call, server, outcome: AttemptOutcome, took: float
+    ) -> None:
         """Note how a server fared."""
         ending = type(outcome).__name__
         self.metrics.count("attempts", service=server.service, outcome=ending)
         good = isinstance(outcome, Answered) and outcome.status < 500
         if good:
-            self.pool.answered(server, took)
+            self.balancer.record_success(server, took)
         elif isinstance(outcome, Refused) and outcome.replaced:
-            self.pool.replaced(server)
+            self.balancer.record_replaced(server)
         elif isinstance(outcome, Answered) and call.suspect:
             return
         elif not isinstance(outcome, Refused):
             gone = isinstance(outcome, Failed) and outcome.gone
             call.suspect = call.suspect or isinstance(outcome, Answered)
-            servers = self.directory.service(server.service)
+            servers = self.directory.ready_servers(server.service)
             if gone:
-                self.pool.crashed(server)
-            ejected = gone or self.pool.failed(server, servers)
+                self.balancer.record_gone(server)
+            ejected = gone or self.balancer.record_failure(server, servers)
             reason = getattr(outcome, "reason", "") or f"status {outcome.status}"
             logs.event(
                 log,
@@ -117,24 +123,24 @@
                 ejected=ejected,
             )
 
-    async def exchange(self, call: Call, server: BackendServer) -> Attempt:
+    async def exchange(self, call: Call, server: BackendServer) -> AttemptOutcome:
         """Exchange request and answer; a stale idle connection is replaced once."""
         fresh = not call.repeatable
         try:
             return await self.exchange_once(call, server, fresh)
         except Withheld:
-            return Refused(WITHDRAWN)
+            return Refused(KEY_NOT_CONFIRMED)
         except FetchError as error:
             first = error
         if not first.reused:
-            return Failed(str(first), first.sent, await self.gone(first, server))
+            return Failed(str(first), first.sent, await self.is_gone(first, server))
         try:
             return await self.exchange_once(call, server, True)
         except FetchError as error:
             # The first connection may have carried it, so nothing is vouched for.
-            return Failed(str(error), True, await self.gone(error, server))
+            return Failed(str(error), True, await self.is_gone(error, server))
 
-    async def gone(
+    async def is_gone(
         self, error: FetchError | StreamBroken, server: BackendServer
     ) -> bool:
         """Tell whether a server is gone that refused or closed a connection."""
@@ -142,7 +148,7 @@
             return error.refused
         return await is_gone(self.directory, self.fetcher, server)
 
-    async def exchange_once(self, call, server, fresh: bool) -> Attempt:
+    async def exchange_once(self, call, server, fresh: bool) -> AttemptOutcome:
         """Exchange on one connection.
 
         Raises
@@ -150,9 +156,11 @@
         FetchError
             The connection broke, or what came is no answer to this request.
         """
-        exchange = await self.open(call, server, self.fields(call, server), fresh)
+        exchange = await self.open(
+            call, server, self.request_headers(call, server), fresh
+        )
         with contextlib.closing(exchange):
-            foreign = foreign_id(exchange, self.names, call.id)
+            foreign = mismatched_request_id(exchange, self.names, call.id)
             if foreign:
                 raise FetchError(f"an answer to the request {foreign}", True)
             self.note_load(server, exchange)
@@ -172,10 +180,12 @@
             fresh=fresh,
             host=call.host,
             connect_timeout=CONNECT_TIMEOUT,
-            allowed=lambda: call.grant.holds,
+            allowed=lambda: call.grant.is_valid,
         )
 
-    def fields(self, call: Call, server: BackendServer) -> list[tuple[str, str]]:
+    def request_headers(
+        self, call: Call, server: BackendServer
+    ) -> list[tuple[str, str]]:
         """Return the header fields for one server."""
         names = self.names
         own = (names.time_left, names.expected_server, *names.identity)
@@ -197,11 +207,11 @@
         """Take the load that an answer tells."""
         words = exchange.header(self.names.load.encode()).split(",")
         if len(words) == 3 and words[0].isdigit() and words[1].isdigit():
-            self.pool.told(server, int(words[0]) + int(words[1]))
+            self.balancer.record_load(server, int(words[0]) + int(words[1]))
 
-    def classify(self, exchange: Exchange, body: bytes) -> Attempt:
+    def classify(self, exchange: Exchange, body: bytes) -> AttemptOutcome:
         """Return what a whole answer means."""
-        refused = refusal(exchange, self.names)
+        refused = parse_refusal(exchange, self.names)
         if refused is not None:
             return refused
         signed = exchange.header(self.names.signature.encode())
@@ -209,4 +219,4 @@
             return Failed("an answer without a signature", True)
         if exchange.header(b"content-encoding"):
             return Failed("an encoded answer", True)
-        return Answered(exchange.status, passed_headers(exchange), body)
+        return Answered(exchange.status, end_to_end_headers(exchange), body)
--- a/gypsumshift/serving/streams.py
+++ b/gypsumshift/serving/streams.py
@@ -18,12 +18,12 @@
 from gypsumshift.fetch import Exchange, FetchError, Withheld
 from gypsumshift.outcomes import HeldBack, NotRun, Unknown
 from gypsumshift.server import Abandon
-from gypsumshift.serving.admission import WITHDRAWN
-from gypsumshift.serving.answers import passed_headers, refusal
+from gypsumshift.serving.authorization import KEY_NOT_CONFIRMED
 from gypsumshift.serving.calls import Call
 from gypsumshift.serving.directory import BackendServer, ServerStart
 from gypsumshift.serving.forwarder import RETRY_AFTER, Forwarder
 from gypsumshift.serving.guard import REASON, Permit
+from gypsumshift.serving.responses import end_to_end_headers, parse_refusal
 
 __all__ = ["Stream", "StreamRelay"]
 
@@ -98,7 +98,7 @@
 
     def __init__(self, forwarder: Forwarder):
         self.sender = forwarder.sender
-        self.pool = forwarder.pool
+        self.balancer = forwarder.balancer
         self.guard = forwarder.guard
         self.late_ends = forwarder.late_ends
         self.trials: set[asyncio.Task] = set()
@@ -132,7 +132,7 @@
         if not isinstance(opened, tuple):
             return opened
         exchange, server = opened
-        headers = list(passed_headers(exchange))
+        headers = list(end_to_end_headers(exchange))
         resumable = call.route.resumable and exchange.status == 200
         relay = self.resume if resumable else self.pass_on
         relayed.status = exchange.status
@@ -203,7 +203,7 @@
         call = relayed.call
         while True:
             service = call.route.service_for(call.id)
-            servers = self.sender.directory.service(service)
+            servers = self.sender.directory.ready_servers(service)
             server = self.choose(relayed, servers)
             left = call.deadline - self.sender.clock.monotonic()
             if server is None or left <= 0:
@@ -219,11 +219,11 @@
                 continue
             except (FetchError, TimeoutError) as error:
                 if getattr(error, "sent", True):
-                    self.sender.note_run(call, sent_at)
+                    self.sender.count_run(call, sent_at)
                 await self.note_failure(relayed, server, error)
                 continue
-            if refusal(exchange, self.sender.names) is None:
-                self.sender.note_run(call, sent_at)
+            if parse_refusal(exchange, self.sender.names) is None:
+                self.sender.count_run(call, sent_at)
                 relayed.runs += 1
                 return exchange, server
             relayed.server = None
@@ -233,12 +233,12 @@
         """Return the server to try next; None where none is left or allowed."""
         if relayed.spent or self.barred(relayed):
             return None
-        return self.pool.choose(servers, relayed.tried)
+        return self.balancer.choose(servers, relayed.tried)
 
     def barred(self, relayed: Relayed) -> str:
         """Return why it may not go to another server; empty where it may."""
-        if not relayed.call.grant.holds:
-            return WITHDRAWN
+        if not relayed.call.grant.is_valid:
+            return KEY_NOT_CONFIRMED
         allowed = self.guard.allows(relayed.permit, 0, relayed.runs > 0)
         return "" if allowed else REASON
 
@@ -261,12 +261,12 @@
         answers would be taken for the stream's end.
         """
         names = self.sender.names
-        fields = self.sender.fields(call, server)
+        fields = self.sender.request_headers(call, server)
         if after:
             fields = [field for field in fields if field[0] != names.last_event]
             fields.append((names.last_event, after))
         exchange = await self.sender.open(call, server, fields, fresh=True)
-        goes_on = exchange.status == 200 or refusal(exchange, names) is not None
+        goes_on = exchange.status == 200 or parse_refusal(exchange, names) is not None
         if after is not None and not goes_on:
             exchange.close()
             raise FetchError(f"status {exchange.status}", True)
@@ -281,9 +281,11 @@
         relayed.runs += sent
         if not broke:
             self.late_ends.watch(relayed.permit, [server])
-        gone = broke and await self.sender.gone(error, server)
+        gone = broke and await self.sender.is_gone(error, server)
         if not gone:
-            self.pool.failed(server, self.sender.directory.service(server.service))
+            self.balancer.record_failure(
+                server, self.sender.directory.ready_servers(server.service)
+            )
         self.note_broken(relayed, server, str(error) or "no answer in time", sent, gone)
 
     def note_broken(
@@ -292,7 +294,7 @@
         """Take that a stream broke, and that its server ended where it is gone."""
         relayed.server = None
         if gone:
-            self.pool.crashed(server)
+            self.balancer.record_gone(server)
         if gone and sent:
             self.guard.note_end(relayed.permit, server.start)
         logs.event(
@@ -313,7 +315,7 @@
                 async for data in exchange.chunks():
                     yield data
             except FetchError as error:
-                gone = await self.sender.gone(error, server)
+                gone = await self.sender.is_gone(error, server)
                 self.note_broken(relayed, server, str(error), True, gone)
                 raise Abandon(str(error)) from error
 
@@ -331,7 +333,7 @@
                 return
             except StreamBroken as error:
                 reason = str(error)
-                gone = await self.sender.gone(error, server)
+                gone = await self.sender.is_gone(error, server)
             self.note_broken(relayed, server, reason, True, gone)
             relayed.from_start = not relayed.last
             opened = await self.open(relayed, relayed.last)
--- a/tests/keys_world.py
+++ b/tests/authorization_world.py
@@ -7,8 +7,8 @@
 from gypsumshift.outcomes import Unavailable
 from gypsumshift.platforms import Write
 from gypsumshift.serving import Directory, RouteTable
-from gypsumshift.serving.admission import Admission
-from gypsumshift.serving.currency import Currency
+from gypsumshift.serving.authorization import Authorizer
+from gypsumshift.serving.freshness import ConfigFreshness
 from gypsumshift.watch import Watch
 from gypsumshift.workspaces import Workspace, Workspaces, key_digest
 from tests.builders import ManualClock
@@ -18,7 +18,7 @@
 TABLE = "settings"
 
 
-class Held(MemoryTables):
+class FakeStore(MemoryTables):
     """A store that answers at once, after a while, or not."""
 
     away = False
@@ -47,16 +47,16 @@
         return self.seconds + self.suspended
 
 
-class World:
+class AuthorizationWorld:
     """One host, the store, and an operator who gives and takes keys."""
 
     def __init__(self, bound=BOUND):
         self.clock = SuspendedClock()
-        self.store = Held(self.clock)
+        self.store = FakeStore(self.clock)
         self.directory = Directory()
         self.watch = Watch(self.store, TABLE, self.take, self.take, self.clock)
-        self.currency = Currency(self.watch, self.directory, self.clock, bound)
-        self.admission = Admission(self.directory, self.currency, METRICS)
+        self.freshness = ConfigFreshness(self.watch, self.directory, self.clock, bound)
+        self.authorizer = Authorizer(self.directory, self.freshness, METRICS)
         self.version = 0
 
     def take(self, rows):
@@ -75,10 +75,10 @@
         value = {"version": self.version, "workspaces": workspaces}
         await self.store.commit([Write(TABLE, "config", value)])
 
-    async def hear(self):
+    async def refresh(self):
         """Have the host ask the store, until all is known and confirmed."""
         for _ in range(2):
             await self.watch.step()
 
-    async def admit(self, key="k", **options):
-        return await self.admission.admit("r", key, **options)
+    async def authorize(self, key="k", **options):
+        return await self.authorizer.authorize("r", key, **options)
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -23,7 +23,7 @@
     Service,
     Target,
 )
-from gypsumshift.serving.admission import Admission, Grant
+from gypsumshift.serving.authorization import Authorizer, Grant
 from gypsumshift.serving.quarantine import MOST_ENDS
 from gypsumshift.serving.streams import Stream
 from tests import own_time
@@ -147,7 +147,7 @@
             self.ways[name],
             directory,
             [],
-            Admission(directory, None, METRICS),
+            Authorizer(directory, None, METRICS),
             None,
             NAMES,
             "here",
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -162,7 +162,7 @@
     engine = FakeEngine()
     engine.busy = True
     agent = world.agent("a", engine)
-    agent.local_engine.directory.set_version(MODEL, 3)
+    agent.local_engine.directory.set_weight_version(MODEL, 3)
     await until(lambda: agent.weights.loading_model == MODEL)
     await world.submit(groups=1)
     await until(lambda: "job" in agent.tracker.open_jobs)
@@ -178,9 +178,9 @@
     agent = world.agent("a", FakeEngine())
     await until(lambda: agent.local_engine.versions)
     assert agent.weights.ready_versions() == {MODEL: 1}
-    agent.local_engine.directory.set_version(MODEL, 3)
+    agent.local_engine.directory.set_weight_version(MODEL, 3)
     assert agent.weights.ready_versions() == {}
-    agent.local_engine.directory.remove_server("e-a", 0.0, 100.0)
+    agent.local_engine.directory.handle_removed_entry("e-a", 0.0, 100.0)
     assert agent.weights.ready_versions() == {MODEL: 1}
 
 
--- a/tests/test_admission_by_key.py
+++ b/tests/test_authorization.py
@@ -11,25 +11,25 @@
 
 from gypsumshift.outcomes import CannotTell
 from gypsumshift.platforms import Changes, HistoryLost
-from gypsumshift.serving.admission import Grant, UnknownKey
+from gypsumshift.serving.authorization import Grant, UnknownKey
 from gypsumshift.watch import POLL, POLL_SILENT
 from gypsumshift.workspaces import key_digest
 from tests import own_time
-from tests.keys_world import World
+from tests.authorization_world import AuthorizationWorld
 
 
 def play(scenario, **options):
-    asyncio.run(scenario(World(**options)))
+    asyncio.run(scenario(AuthorizationWorld(**options)))
 
 
 def test_a_key_names_its_workspace_and_no_other():
     async def scenario(world):
         await world.write(one=["a", "b"], two=["c"])
-        await world.hear()
-        grants = [await world.admit(key) for key in "abc"]
+        await world.refresh()
+        grants = [await world.authorize(key) for key in "abc"]
         assert [grant.workspace for grant in grants] == ["one", "one", "two"]
-        assert await world.admit("d") == UnknownKey()
-        assert await world.admit("") == UnknownKey()
+        assert await world.authorize("d") == UnknownKey()
+        assert await world.authorize("") == UnknownKey()
 
     play(scenario)
 
@@ -37,8 +37,8 @@
 def test_a_host_without_a_configuration_calls_no_key_unknown():
     async def scenario(world):
         for verdict in (
-            await world.admit(""),
-            await world.admission.identify("r", "k"),
+            await world.authorize(""),
+            await world.authorizer.identify("r", "k"),
         ):
             assert isinstance(verdict, CannotTell)
 
@@ -48,9 +48,9 @@
 def test_a_public_route_needs_no_key_whatever_is_known():
     async def scenario(world):
         await world.write(one=["a"])
-        await world.hear()
+        await world.refresh()
         world.clock.advance(60)
-        assert await world.admit("", public=True) == Grant()
+        assert await world.authorize("", public=True) == Grant()
 
     play(scenario)
 
@@ -58,15 +58,15 @@
 def test_a_host_that_hears_nothing_runs_nothing_by_a_key():
     async def scenario(world):
         await world.write(one=["k"])
-        await world.hear()
-        grant = await world.admit()
+        await world.refresh()
+        grant = await world.authorize()
         world.store.away = True
         world.clock.advance(4.4)
-        assert isinstance(await world.admit(), Grant) and grant.holds
+        assert isinstance(await world.authorize(), Grant) and grant.is_valid
         world.clock.advance(0.2)
-        assert isinstance(await world.admit(), CannotTell)
+        assert isinstance(await world.authorize(), CannotTell)
         # What was let in before is not sent on, either.
-        assert not grant.holds
+        assert not grant.is_valid
 
     play(scenario)
 
@@ -74,12 +74,12 @@
 def test_time_in_which_a_host_was_suspended_counts():
     async def scenario(world):
         await world.write(one=["k"])
-        await world.hear()
-        grant = await world.admit()
+        await world.refresh()
+        grant = await world.authorize()
         world.clock.suspended = 6.0
-        assert not grant.holds
+        assert not grant.is_valid
         world.store.away = True
-        assert isinstance(await world.admit(), CannotTell)
+        assert isinstance(await world.authorize(), CannotTell)
 
     play(scenario)
 
@@ -87,11 +87,11 @@
 def test_an_answer_that_took_long_confirms_only_what_was_so_when_it_was_asked():
     async def scenario(world):
         await world.write(one=["k"])
-        await world.hear()
+        await world.refresh()
         world.store.takes = 5.0
         await world.watch.step()
         world.store.away = True
-        assert isinstance(await world.admit(), CannotTell)
+        assert isinstance(await world.authorize(), CannotTell)
 
     play(scenario)
 
@@ -99,10 +99,10 @@
 def test_a_key_that_the_host_does_not_know_yet_is_asked_for_before_it_is_unknown():
     async def scenario(world):
         await world.write(one=["k"])
-        await world.hear()
+        await world.refresh()
         world.clock.advance(1.0)
         await world.write(one=["k", "new"])
-        grant = await world.admit("new")
+        grant = await world.authorize("new")
         assert isinstance(grant, Grant) and grant.workspace == "one"
 
     play(scenario)
@@ -111,10 +111,10 @@
 def test_a_flood_of_wrong_keys_costs_the_store_little():
     async def scenario(world):
         await world.write(one=["k"])
-        await world.hear()
+        await world.refresh()
         before = world.store.calls
         for number in range(1000):
-            assert await world.admit(f"wrong-{number}") == UnknownKey()
+            assert await world.authorize(f"wrong-{number}") == UnknownKey()
             world.clock.advance(0.01)
         assert world.store.calls - before <= 20, "two a second"
 
@@ -124,10 +124,10 @@
 def test_wrong_keys_at_once_share_a_call():
     async def scenario(world):
         await world.write(one=["k"])
-        await world.hear()
+        await world.refresh()
         world.clock.advance(1.0)
         before = world.store.calls
-        await asyncio.gather(*(world.admit(f"wrong-{n}") for n in range(50)))
+        await asyncio.gather(*(world.authorize(f"wrong-{n}") for n in range(50)))
         assert world.store.calls - before == 1
 
     play(scenario)
@@ -136,10 +136,10 @@
 def test_without_the_store_a_wrong_key_is_not_called_unknown():
     async def scenario(world):
         await world.write(one=["k"])
-        await world.hear()
+        await world.refresh()
         world.store.away = True
         world.clock.advance(1.0)
-        verdict = await world.admit("new")
+        verdict = await world.authorize("new")
         assert isinstance(verdict, CannotTell) and verdict.retry_after
 
     play(scenario)
@@ -150,7 +150,7 @@
 
     async def scenario(world):
         await world.write(one=["k"])
-        await world.hear()
+        await world.refresh()
         asked = asyncio.Event()
 
         async def silent(table, after, wait):
@@ -160,24 +160,24 @@
         world.store.changes = silent
         world.clock.advance(6.0)
         before = asyncio.get_running_loop().time()
-        assert isinstance(await world.admit(), CannotTell)
+        assert isinstance(await world.authorize(), CannotTell)
         assert asked.is_set()
         assert asyncio.get_running_loop().time() - before < 0.2
         # Once it is known that the store does not answer, nobody is held up at all.
         world.watch.note_failure("silent")
         asked.clear()
-        assert isinstance(await world.admit(), CannotTell)
+        assert isinstance(await world.authorize(), CannotTell)
         assert not asked.is_set()
 
-    own_time.play(lambda: scenario(World()))
+    own_time.play(lambda: scenario(AuthorizationWorld()))
 
 
 def test_a_host_that_was_suspended_asks_before_it_refuses():
     async def scenario(world):
         await world.write(one=["k"])
-        await world.hear()
+        await world.refresh()
         world.clock.suspended = 30.0
-        assert isinstance(await world.admit(), Grant)
+        assert isinstance(await world.authorize(), Grant)
 
     play(scenario)
 
@@ -185,10 +185,10 @@
 def test_what_was_accepted_before_is_read_while_nothing_is_heard():
     async def scenario(world):
         await world.write(one=["k"])
-        await world.hear()
+        await world.refresh()
         world.store.away = True
         world.clock.advance(60)
-        assert (await world.admission.identify("r", "k")).workspace == "one"
+        assert (await world.authorizer.identify("r", "k")).workspace == "one"
 
     play(scenario)
 
@@ -204,7 +204,7 @@
         world.store.away = True
         await world.watch.step()
         assert world.watch.version == 1
-        assert not world.currency.holds
+        assert not world.freshness.keys_accepted
 
     play(scenario)
 
@@ -222,12 +222,12 @@
             return await changes(table, after, wait)
 
         world.store.changes = noted
-        await world.hear()
+        await world.refresh()
         world.watch.version = -1
         for _ in range(3):
             await world.watch.step()
         assert waits == [POLL_SILENT, POLL_SILENT, POLL]
-        assert world.currency.holds
+        assert world.freshness.keys_accepted
 
     play(scenario)
 
@@ -235,7 +235,7 @@
 def test_changes_that_were_lost_confirm_nothing():
     async def scenario(world):
         await world.write(one=["k"])
-        await world.hear()
+        await world.refresh()
         confirmed = world.watch.confirmed_at
 
         async def lost(table, after, wait):
@@ -252,12 +252,12 @@
 def test_a_configuration_that_cannot_be_read_makes_no_key_good():
     async def scenario(world):
         await world.write(one=["k"])
-        await world.hear()
-        world.directory.outdated = True
-        assert isinstance(await world.admit(), CannotTell)
+        await world.refresh()
+        world.directory.config_unreadable = True
+        assert isinstance(await world.authorize(), CannotTell)
         await world.write(one=["k"])
-        await world.hear()
-        assert isinstance(await world.admit(), Grant)
+        await world.refresh()
+        assert isinstance(await world.authorize(), Grant)
 
     play(scenario)
 
@@ -265,9 +265,9 @@
 def test_where_keys_may_live_on_an_outage_costs_no_request():
     async def scenario(world):
         await world.write(one=["k"])
-        await world.hear()
+        await world.refresh()
         world.clock.advance(60)
-        assert isinstance(await world.admit(), Grant)
+        assert isinstance(await world.authorize(), Grant)
 
     play(scenario, bound=None)
 
--- a/tests/test_ended.py
+++ b/tests/test_broken_connections.py
@@ -9,7 +9,7 @@
 from gypsumshift.fetch import Fetcher
 from gypsumshift.serving import BackendServer, Directory
 from gypsumshift.serving.calls import Call, Failed
-from gypsumshift.serving.pool import Pool
+from gypsumshift.serving.loadbalancer import LoadBalancer
 from gypsumshift.serving.sender import Sender
 from tests.job_builders import HOST, METRICS, NAMES, routes
 
@@ -58,7 +58,7 @@
 def play(scenario):
     async def run():
         clock, directory, fetcher = SystemClock(), Directory(), Fetcher()
-        pool = Pool("here", clock, random.Random(1))
+        pool = LoadBalancer("here", clock, random.Random(1))
         peer = Peer()
         server = BackendServer("s", "app", await peer.listen(), "here")
         directory.set_server(server)
--- a/tests/test_sightings.py
+++ b/tests/test_observations.py
@@ -8,27 +8,27 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gypsumshift.gossip import SEEN, Gossip
+from gypsumshift.gossip import OBSERVATIONS_PATH, Gossip
 from gypsumshift.neighbours import Neighbour, Relay
 from gypsumshift.serving import Directory
-from gypsumshift.serving.pool import OWN_FRESH, Pool
-from gypsumshift.serving.sightings import (
-    MOST_AGE,
-    MOST_TOLD,
-    Sighting,
-    Sightings,
+from gypsumshift.serving.loadbalancer import OWN_FRESH_SECONDS, LoadBalancer
+from gypsumshift.serving.observations import (
+    MAX_AGE_SECONDS,
+    MAX_DIGEST_SIZE,
+    Observation,
+    Observations,
     decode,
     encode,
 )
 from tests.builders import ManualClock
+from tests.test_loadbalancer import make_pool, servers
 from tests.test_neighbours import scenario
-from tests.test_pool import make_pool, servers
 
 SLOW, USUAL = 0.4, 0.08
 
 
 def sighting(server, clock, slowness=1.0, busy=0.0, failed=0.0, age=0.0):
-    return Sighting(server.start, slowness, busy, failed, clock.monotonic() - age)
+    return Observation(server.start, slowness, busy, failed, clock.monotonic() - age)
 
 
 def chosen(pool, listed, times=40):
@@ -39,10 +39,12 @@
     seen, clock = make_pool()
     listed, now = servers(4), clock.monotonic()
     for server in listed:
-        seen.answered(server, SLOW if server.id in ("s0", "s1") else USUAL)
-    seen.note_own(listed)
-    fresh = Pool("here", clock, random.Random(2))
-    fresh.shared.take(decode(encode(seen.shared.digest(), now), now))
+        seen.record_success(server, SLOW if server.id in ("s0", "s1") else USUAL)
+    seen.share_own_observations(listed)
+    fresh = LoadBalancer("here", clock, random.Random(2))
+    fresh.shared_observations.merge(
+        decode(encode(seen.shared_observations.digest(), now), now)
+    )
     assert chosen(seen, listed) == chosen(fresh, listed) == {"s2", "s3"}
 
 
@@ -50,13 +52,13 @@
     """Reward calls take three times as long as bookings at every server."""
     pool, clock = make_pool()
     listed = servers(2)
-    pool.answered(listed[0], 0.025)
-    rewards = Pool("here", clock, random.Random(2))
+    pool.record_success(listed[0], 0.025)
+    rewards = LoadBalancer("here", clock, random.Random(2))
     for server in listed:
-        rewards.answered(server, 0.08)
-    rewards.note_own(listed)
-    pool.shared.take(rewards.shared.digest())
-    clock.advance(OWN_FRESH + 0.1)
+        rewards.record_success(server, 0.08)
+    rewards.share_own_observations(listed)
+    pool.shared_observations.merge(rewards.shared_observations.digest())
+    clock.advance(OWN_FRESH_SECONDS + 0.1)
     assert chosen(pool, listed) == {"s0", "s1"}
 
 
@@ -64,30 +66,32 @@
     pool, clock = make_pool()
     listed = servers(2)
     for server in listed:
-        pool.answered(server, USUAL)
-    pool.shared.take([sighting(listed[0], clock, 50.0, 100.0, 1.0, age=-1.0)])
+        pool.record_success(server, USUAL)
+    pool.shared_observations.merge(
+        [sighting(listed[0], clock, 50.0, 100.0, 1.0, age=-1.0)]
+    )
     assert chosen(pool, listed) == {"s0", "s1"}
-    clock.advance(OWN_FRESH + 0.1)
+    clock.advance(OWN_FRESH_SECONDS + 0.1)
     assert chosen(pool, listed) == {"s1"}
 
 
 def test_what_others_saw_is_forgotten_within_seconds():
     pool, clock = make_pool()
     listed = servers(2)
-    pool.shared.take([sighting(listed[0], clock, 50.0)])
+    pool.shared_observations.merge([sighting(listed[0], clock, 50.0)])
     assert chosen(pool, listed) == {"s1"}
-    clock.advance(MOST_AGE + 0.1)
+    clock.advance(MAX_AGE_SECONDS + 0.1)
     assert chosen(pool, listed) == {"s0", "s1"}
     pool.prune({server.start for server in listed})
-    assert not pool.shared.newest
+    assert not pool.shared_observations.newest
 
 
 def test_an_older_sighting_does_not_replace_a_newer_one():
     clock = ManualClock()
     (server,) = servers(1)
-    known = Sightings(clock)
-    known.take([sighting(server, clock, 1.0), sighting(server, clock, 9.0, age=1.0)])
-    assert known.of(server.start).slowness == 1.0
+    known = Observations(clock)
+    known.merge([sighting(server, clock, 1.0), sighting(server, clock, 9.0, age=1.0)])
+    assert known.get(server.start).slowness == 1.0
 
 
 figure = st.one_of(
@@ -100,7 +104,7 @@
     pool, clock = make_pool()
     listed = servers(4)
     rows = [[listed[n].id, listed[n].born, *figures] for n, *figures in lies]
-    pool.shared.take(decode(rows, clock.monotonic()))
+    pool.shared_observations.merge(decode(rows, clock.monotonic()))
     assert pool.choose(listed, set()) is not None
     avoid = {server.start for server in listed[1:]}
     assert pool.choose(listed, avoid) is listed[0]
@@ -128,14 +132,14 @@
 
 def test_a_digest_has_its_size_whatever_the_number_of_servers():
     clock = ManualClock()
-    known = Sightings(clock)
+    known = Observations(clock)
     listed = servers(500)
-    known.take(
+    known.merge(
         sighting(server, clock, age=0.001 * n) for n, server in enumerate(listed)
     )
-    known.take([sighting(listed[400], clock, slowness=5.0, age=0.3)])
+    known.merge([sighting(listed[400], clock, slowness=5.0, age=0.3)])
     told = known.digest()
-    assert len(told) == MOST_TOLD
+    assert len(told) == MAX_DIGEST_SIZE
     assert told[0].start.id == "s400", "a slow server is told first"
     assert len(json.dumps(encode(told, clock.monotonic()))) < 400
 
@@ -149,19 +153,23 @@
         directory = Directory()
         for server in listed:
             directory.set_server(server)
-        pool = Pool("here", clock, random.Random(number))
+        pool = LoadBalancer("here", clock, random.Random(number))
         path = world.path(("127.0.0.1", 1))
         gossips.append(Gossip(pool, directory, path, clock, random.Random(number)))
     asked, asking = gossips
-    address = await world.serve(Relay(asked.path, {SEEN: asked.serve}).serve)
+    address = await world.serve(
+        Relay(asked.path, {OBSERVATIONS_PATH: asked.serve}).serve
+    )
     asking.path.neighbours = {"a": Neighbour("a", address, "here")}
-    for server, pool in zip(listed, [asked.pool, asking.pool] * 2, strict=True):
-        pool.answered(server, USUAL)
+    for server, pool in zip(listed, [asked.balancer, asking.balancer] * 2, strict=True):
+        pool.record_success(server, USUAL)
     await asking.exchange()
     for gossip in gossips:
-        assert len(gossip.pool.shared.newest) == 4
+        assert len(gossip.balancer.shared_observations.newest) == 4
     for foreign in (b"[[1]]", b"", b"[" * 100_000):
-        answer = await world.fetcher.fetch(address, "POST", SEEN, body=foreign)
+        answer = await world.fetcher.fetch(
+            address, "POST", OBSERVATIONS_PATH, body=foreign
+        )
         assert answer.status == 400
 
 
@@ -177,14 +185,14 @@
         self.clock = ManualClock()
         self.listed = servers(6)
         self.waits = []
-        pools = [Pool("here", self.clock, random.Random(n)) for n in range(18)]
+        pools = [LoadBalancer("here", self.clock, random.Random(n)) for n in range(18)]
         self.entries, self.sidecars = pools[:15], pools[15:]
 
     def call(self, pool, second):
         server = pool.choose(self.listed, set())
         slow = 5 <= second < 10 and server.id in ("s0", "s1", "s2")
         took = SLOW if slow else USUAL
-        pool.answered(server, took)
+        pool.record_success(server, took)
         return took
 
     def exchange(self):
@@ -193,10 +201,10 @@
         for pool in pools:
             other = self.chance.choice(pools)
             for one in (pool, other):
-                one.note_own(self.listed)
-            told = pool.shared.digest()
-            pool.shared.take(other.shared.digest())
-            other.shared.take(told)
+                one.share_own_observations(self.listed)
+            told = pool.shared_observations.digest()
+            pool.shared_observations.merge(other.shared_observations.digest())
+            other.shared_observations.merge(told)
 
     def play(self):
         """Return the callers' waits while servers were slow, but for the first 2 s."""
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -183,7 +183,10 @@
         world.app.state = "draining"
         await world.register(world.app)
         await until(
-            lambda: [s.id for s in world.gateway.directory.service("app")] == [other.id]
+            lambda: (
+                [s.id for s in world.gateway.directory.ready_servers("app")]
+                == [other.id]
+            )
         )
         for number in range(10):
             await world.ask("POST", "/app/1", f"d{number}")
--- a/tests/test_platform_keys.py
+++ b/tests/test_platform_keys.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from gypsumshift.serving.admission import Grant
+from gypsumshift.serving.authorization import Grant
 from standins.users_documents import config, job_body, results_target
 from standins.users_store import Faults
 from tests.platform_world import play
@@ -134,8 +134,8 @@
                 break
             await asyncio.sleep(0.02)
         world.store.faults = Faults(down="busy")
-        currency = world.gateway.admission.currency
-        currency.bound = 0.0
+        freshness = world.gateway.authorizer.freshness
+        freshness.bound = 0.0
         exchange, _ = await world.ask("POST", "/app/1", "a", key="key-one")
         assert exchange.status == 503 and float(exchange.header(b"retry-after")) > 0
         assert not [run for run in world.app.runs if run["request"] == "a"]
@@ -155,19 +155,19 @@
 
     async def scenario(world):
         await with_keys(world)
-        admission = world.gateway.admission
-        admitted = admission.admit
+        authorizer = world.gateway.authorizer
+        authorize = authorizer.authorize
 
-        async def admit_and_suspend(request, key, public=False):
-            grant = await admitted(request, key, public)
+        async def authorize_and_suspend(request, key, public=False):
+            grant = await authorize(request, key, public)
             assert isinstance(grant, Grant)
-            admission.currency.bound = 0.0
+            authorizer.freshness.bound = 0.0
             return grant
 
-        admission.admit = admit_and_suspend
+        authorizer.authorize = authorize_and_suspend
         exchange, _ = await world.ask("POST", "/app/1", "a", key="key-one")
         assert exchange.status == 503
-        admission.currency.bound = 5.0
+        authorizer.freshness.bound = 5.0
         exchange, _ = await world.ask("POST", "/flow/1", "b", key="key-one")
         assert exchange.status == 503
         assert not world.app.runs and not world.engine.runs
--- a/tests/test_revocations.py
+++ b/tests/test_revocations.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from gypsumshift.serving.admission import Grant
-from tests.keys_world import World
+from gypsumshift.serving.authorization import Grant
+from tests.authorization_world import AuthorizationWorld
 
 
 class Revocations(RuleBasedStateMachine):
@@ -16,7 +16,7 @@
     def __init__(self):
         super().__init__()
         self.runner = asyncio.Runner()
-        self.world = World()
+        self.world = AuthorizationWorld()
         self.held = []
         self.gone_at = None
         self.do(self.world.write(one=["k"]))
@@ -56,7 +56,7 @@
     @rule()
     def ask(self):
         sent = self.now()
-        verdict = self.do(self.world.admit())
+        verdict = self.do(self.world.authorize())
         if isinstance(verdict, Grant):
             self.held.append(verdict)
             late = self.gone_at is not None and sent > self.gone_at + 5
@@ -65,7 +65,7 @@
     @invariant()
     def nothing_held_is_sent_later(self):
         if self.gone_at is not None and self.now() > self.gone_at + 5:
-            assert not any(grant.holds for grant in self.held)
+            assert not any(grant.is_valid for grant in self.held)
 
 
 Revocations.TestCase.settings = settings(max_examples=300, stateful_step_count=30)
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -5,11 +5,11 @@
 from gypsumshift.outcomes import Answered
 from gypsumshift.serving import Directory
 from gypsumshift.serving.calls import Call, Failed
-from gypsumshift.serving.pool import Pool
+from gypsumshift.serving.loadbalancer import LoadBalancer
 from gypsumshift.serving.sender import Sender
 from tests.builders import ManualClock
 from tests.job_builders import HOST, METRICS, NAMES, routes
-from tests.test_pool import servers
+from tests.test_loadbalancer import servers
 
 TOOK = 0.03
 
@@ -19,7 +19,7 @@
     directory = Directory()
     for server in servers(count):
         directory.set_server(server)
-    pool = Pool("here", clock, random.Random(1))
+    pool = LoadBalancer("here", clock, random.Random(1))
     return Sender(directory, pool, None, NAMES, clock, METRICS)
 
 
@@ -31,7 +31,9 @@
 def avoided(sender):
     now = sender.clock.monotonic()
     return {
-        start.id for start, record in sender.pool.records.items() if record.until > now
+        start.id
+        for start, record in sender.balancer.stats_by_start.items()
+        if record.avoided_until > now
     }
 
 
@@ -41,25 +43,27 @@
     for first in range(2):
         bad = call(f"bad{first}")
         for number in range(4):
-            sender.learn(bad, servers()[(first + number) % 4], Answered(500), TOOK)
+            sender.record_outcome(
+                bad, servers()[(first + number) % 4], Answered(500), TOOK
+            )
     assert not avoided(sender)
-    failures = [sender.pool.record(server).failures for server in servers()]
+    failures = [sender.balancer.stats(server).failures for server in servers()]
     assert failures == [1, 1, 0, 0]
 
 
 def test_a_server_that_fails_calls_which_others_answer_is_avoided():
     sender = make_sender()
     for number in range(2):
-        sender.learn(call(f"r{number}"), servers()[0], Answered(500), TOOK)
+        sender.record_outcome(call(f"r{number}"), servers()[0], Answered(500), TOOK)
     assert avoided(sender) == {"s0"}
 
 
 def test_a_broken_connection_counts_whatever_the_call():
     sender = make_sender()
     bad = call()
-    sender.learn(bad, servers()[0], Answered(500), TOOK)
+    sender.record_outcome(bad, servers()[0], Answered(500), TOOK)
     for _ in range(2):
-        sender.learn(bad, servers()[1], Failed("reset", True), TOOK)
+        sender.record_outcome(bad, servers()[1], Failed("reset", True), TOOK)
     assert avoided(sender) == {"s1"}
 
 
@@ -67,6 +71,6 @@
     sender = make_sender()
     for sent in (True, False, False, False):
         gone = Failed("nobody listens", sent, gone=True)
-        sender.learn(call(), servers()[0], gone, TOOK)
+        sender.record_outcome(call(), servers()[0], gone, TOOK)
     assert avoided(sender) == {"s0"}
-    assert sender.pool.record(servers()[0]).failures == 0
+    assert sender.balancer.stats(servers()[0]).failures == 0
--- a/tests/test_server_entry.py
+++ b/tests/test_server_entry.py
@@ -179,4 +179,4 @@
         for known in ({}, {"version": 3, "routes": [], "services": None})
     ]
     feed.take_operator([*rows, Row("op", "version/n", 2, {"model": "n", "version": 4})])
-    assert directory.newest["n"] == 4
+    assert directory.newest_versions["n"] == 4
--- a/tests/test_restart.py
+++ b/tests/test_server_restart.py
@@ -11,7 +11,7 @@
 from gypsumshift.jobs.localengine import AgentIdentity, LocalEngine
 from gypsumshift.serving import BackendServer, Directory
 from gypsumshift.serving.directory import ServerStart
-from gypsumshift.serving.pool import Pool
+from gypsumshift.serving.loadbalancer import LoadBalancer
 from tests.builders import ManualClock
 from tests.job_builders import ADDRESS, SERVICE, FakeEngine, JobCluster, server
 
@@ -42,20 +42,25 @@
 
 def test_failures_load_and_pace_of_the_old_start_are_not_held_against_the_new_one():
     clock = ManualClock()
-    pool = Pool("here", clock, random.Random(1))
+    pool = LoadBalancer("here", clock, random.Random(1))
     for _ in range(3):
-        pool.failed(born(1), [born(1)])
-    pool.answered(born(1), 5.0)
-    pool.told(born(1), 9)
-    assert pool.record(born(1)).until > clock.monotonic()
+        pool.record_failure(born(1), [born(1)])
+    pool.record_success(born(1), 5.0)
+    pool.record_load(born(1), 9)
+    assert pool.stats(born(1)).avoided_until > clock.monotonic()
     assert pool.choose([born(2)], {born(1).start}) == born(2)
-    fresh = pool.record(born(2))
-    assert (fresh.until, fresh.latency, fresh.busy, fresh.failures) == (0, 0, 0, 0)
+    fresh = pool.stats(born(2))
+    assert (fresh.avoided_until, fresh.latency, fresh.busy, fresh.failures) == (
+        0,
+        0,
+        0,
+        0,
+    )
     # An answer of the old start that comes late counts for that one.
-    pool.failed(born(1), [born(2)])
-    assert pool.record(born(2)).failures == 0
+    pool.record_failure(born(1), [born(2)])
+    assert pool.stats(born(2)).failures == 0
     pool.prune({born(2).start})
-    assert list(pool.records) == [born(2).start]
+    assert list(pool.stats_by_start) == [born(2).start]
 
 
 class Reporter:
