--- a/gypsumshift/jobs/localengine.py
+++ b/gypsumshift/jobs/localengine.py
@@ -109,7 +109,7 @@
     @property
     def service_engines(self) -> list[BackendServer]:
         """Ready engines of the service, this one included."""
-        return self.directory.service(self.identity.service)
+        return self.directory.ready_servers(self.identity.service)
 
     def is_current(self, report: EngineReport, server: BackendServer | None) -> bool:
         """Return whether a report comes from the start that is listed now."""
