--- a/gypsumshift/jobs/__init__.py
+++ b/gypsumshift/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs: batch jobs of trainers, from their acceptance to their results."""
+"""Batch jobs of trainers, from their submission to their results."""
 
 from gypsumshift.jobs.desk import Desk
 from gypsumshift.jobs.engine import EngineClient, EngineProtocol, EngineReport, Event
--- a/gypsumshift/jobs/engine.py
+++ b/gypsumshift/jobs/engine.py
@@ -1,6 +1,7 @@
-"""Engine: a model engine's streams, its report and its orders.
+"""Client of model engines: streams of items, status reports and weight-load orders.
 
-What vendors and platforms call these things is left to an `EngineProtocol`.
+The wire format of reports and orders depends on the vendor or platform; an
+`EngineProtocol` defines it.
 """
 
 import abc
@@ -27,9 +28,9 @@
     "WeightLoadOrder",
 ]
 
-# Seconds without an event after which a stream is taken for dead. Changing weights
+# Seconds without an event after which a stream counts as broken. Loading weights
 # stalls an engine for up to 2.3 s, and a host may be frozen for some seconds: a
-# longer wait loses more than reading the prompt again, which takes 10 ms.
+# longer wait loses more than processing the prompt again, which takes 10 ms.
 SILENCE_TIMEOUT = 3.0
 CONNECT_TIMEOUT = 0.5
 REPORT_TIMEOUT = 0.5
@@ -38,15 +39,15 @@
 
 @attrs.frozen
 class Event:
-    """One event of a stream.
+    """One event of an item's output stream.
 
     Attributes
     ----------
     number : int
-        1 for the first event of the whole output.
+        Position in the whole output, counted from 1.
     data : str
     version : int
-        Weight version that generated it; 0 where the engine did not tell.
+        Weight version that generated it; 0 where the engine did not send one.
     """
 
     number: int
@@ -56,20 +57,20 @@
 
 @attrs.frozen
 class EngineReport:
-    """What a model engine says of itself.
+    """Status report of a model engine.
 
     Attributes
     ----------
     versions : dict
         Loaded weight version by model.
     busy : bool
-        Whether an order is being carried out.
+        Whether the engine is executing an order.
     orders : int
-        Orders accepted since its start.
+        Number of orders accepted since the engine started.
     running, waiting : int
-        Requests.
+        Number of requests in execution and in the queue.
     born : int
-        Start of the engine; see `ServerStart`.
+        Identifies the start of the engine; see `ServerStart`.
     """
 
     versions: dict[str, int]
@@ -82,19 +83,19 @@
 
 @attrs.frozen
 class WeightLoadOrder:
-    """Order to load a weight version of a model.
+    """Order to an engine to load a weight version of a model.
 
     Attributes
     ----------
     model : str
     version : int
     holder : str
-        Host that gives the order.
+        Host that sends the order.
     fence : int
-        Grows with each start of that host's process.
+        Fencing token, which grows with each start of that host's process.
     orders : int
-        Orders that the engine must have accepted before this one; an order that
-        comes late is refused by it.
+        Number of orders that the engine must have accepted before this one; the
+        engine refuses an order that arrives late.
     """
 
     model: str
@@ -105,14 +106,14 @@
 
 
 class StreamRefused(Exception):
-    """The engine did not run the item.
+    """The engine answered an item's request with an error status.
 
     Parameters
     ----------
     status : int
         HTTP status code.
-    run : bool
-        Whether this counts as a run that failed.
+    counts_as_failure : bool
+        Whether this counts as a failed run of the item.
     """
 
     def __init__(self, status: int, counts_as_failure: bool):
@@ -122,27 +123,27 @@
 
     @property
     def replaced(self) -> bool:
-        """Whether another server stands at the address now."""
+        """Whether another server has the address now."""
         return self.status == MISDIRECTED
 
 
 class EngineProtocol(abc.ABC):
-    """How an engine's report and orders look on the wire."""
+    """Wire format of an engine's reports and orders."""
 
     report_target: str
     order_target: str
 
     @abc.abstractmethod
     def parse_report(self, body: bytes) -> EngineReport:
-        """Return the report in an answer; raises ValueError for a foreign one."""
+        """Return the report in a response; raise ValueError if it cannot be parsed."""
 
     @abc.abstractmethod
     def order_body(self, order: WeightLoadOrder) -> bytes:
-        """Return the body of an order."""
+        """Return the request body of an order."""
 
 
 class EngineClient:
-    """Client of model engines.
+    """Sends items, report requests and orders to model engines.
 
     Parameters
     ----------
@@ -159,23 +160,23 @@
     async def stream(
         self, server: BackendServer, item: Item, job: Job, after: int, urgency: int
     ) -> AsyncIterator[Event]:
-        """Yield the events of an item, behind those that are held already.
+        """Request an item's output and yield its events, from a position on.
 
         Parameters
         ----------
         server : BackendServer
         item : Item
         job : Job
-            Its batch job, whose host and workspace it has.
+            Batch job of the item, which gives the host and the workspace.
         after : int
-            Number of the last event held; 0 for none.
+            Number of the last event received earlier; 0 for none.
         urgency : int
-            Rank at the engine, 0 for the most urgent.
+            Priority at the engine, 0 for the most urgent.
 
         Raises
         ------
         StreamRefused
-            Nothing was generated.
+            The engine answered with an error status and generated nothing.
         StreamBroken
             The stream ended early.
         """
@@ -185,7 +186,7 @@
                     server.address,
                     "POST",
                     item.path,
-                    self.fields(server, item, job.workspace, after, urgency),
+                    self.request_headers(server, item, job.workspace, after, urgency),
                     item.body,
                     host=job.host,
                     connect_timeout=CONNECT_TIMEOUT,
@@ -193,21 +194,27 @@
         except FetchError as error:
             raise StreamBroken.of(error) from error
         except TimeoutError as error:
-            raise StreamBroken("no answer in time") from error
+            raise StreamBroken(
+                f"no response from server {server.id} within {SILENCE_TIMEOUT} s"
+            ) from error
         with contextlib.closing(exchange):
-            await self.check(exchange, item)
-            version = number(exchange.header(self.names.versions.encode()))
+            await self.check_response(exchange, item)
+            version = parse_number(exchange.header(self.names.versions.encode()))
             stream = blocks(exchange, SILENCE_TIMEOUT)
             async with contextlib.aclosing(stream):
                 async for block in stream:
-                    event = self.parse(block, version)
+                    event = self.parse_event(block, version)
                     version = event.version
                     yield event
 
-    def fields(
+    def request_headers(
         self, server, item, workspace: str, after: int, urgency: int
     ) -> list[tuple[str, str]]:
-        """Return the header fields of an item's request."""
+        """Return the header fields of an item's request.
+
+        The item's own urgency is replaced. The caller's identity (key and workspace) is
+        not sent to the server, only the job's workspace.
+        """
         own = (self.names.urgency, *self.names.identity)
         fields = [f for f in item.headers.items() if f[0] not in own]
         if workspace:
@@ -219,38 +226,40 @@
             fields.append((self.names.last_event, str(after)))
         return fields
 
-    async def check(self, exchange: Exchange, item: Item) -> None:
-        """Raise unless an answer is the stream of the item."""
+    async def check_response(self, exchange: Exchange, item: Item) -> None:
+        """Raise unless a response is the output stream of the item."""
         foreign = foreign_id(exchange, self.names, item.id)
         if foreign:
-            raise StreamBroken(f"an answer to the request {foreign}")
+            raise StreamBroken(
+                f"response belongs to request {foreign}, not to item {item.id}"
+            )
         if exchange.status != 200:
             not_run = exchange.header(self.names.not_run.encode())
-            # Read to its end, the connection serves the next try.
+            # A response that was read to its end leaves the connection reusable.
             with contextlib.suppress(FetchError, TimeoutError):
                 async with asyncio.timeout(REPORT_TIMEOUT):
                     await exchange.read()
             raise StreamRefused(exchange.status, exchange.status == 500 and not not_run)
         if not exchange.header(self.names.signature.encode()):
-            raise StreamBroken("an answer without a signature")
+            raise StreamBroken(f"response to item {item.id} has no signature header")
 
-    def parse(self, block: bytes, version: int) -> Event:
-        """Return the event in its bytes; ``version`` holds unless it says else."""
+    def parse_event(self, block: bytes, version: int) -> Event:
+        """Parse one event; ``version`` applies unless the event has its own."""
         event_id = 0
         data = []
         for line in block.decode("utf-8", "replace").split("\n"):
             name, _, value = line.partition(":")
             value = value.removeprefix(" ")
             if name == self.names.event_version:
-                version = number(value)
+                version = parse_number(value)
             elif name == "id":
-                event_id = number(value)
+                event_id = parse_number(value)
             elif name == "data":
                 data.append(value)
         return Event(event_id, "\n".join(data), version)
 
     async def fetch_report(self, server: BackendServer) -> EngineReport | None:
-        """Ask an engine for its report; None where it does not give one."""
+        """Request an engine's report; return None where it gives no valid one."""
         try:
             answer = await self.fetcher.fetch(
                 server.address,
@@ -267,7 +276,7 @@
     async def send_order(
         self, server: BackendServer, order: WeightLoadOrder
     ) -> Answered | NotRun | Unknown:
-        """Give an order; without an answer it may be carried out, even later."""
+        """Send an order; without a response it may still be executed, even later."""
         headers = [
             ("content-type", "application/json"),
             (self.names.expected_server, server.id),
@@ -286,7 +295,7 @@
         return Answered(answer.status, (), answer.body)
 
 
-def number(text: str) -> int:
-    """Return a number as it stands in a header field; 0 for anything else."""
+def parse_number(text: str) -> int:
+    """Parse a non-negative integer of a header field; return 0 for anything else."""
     text = text.strip()
     return int(text) if text.isdigit() else 0
