--- a/gypsumshift/jobs/prioritysemaphore.py
+++ b/gypsumshift/jobs/prioritysemaphore.py
@@ -1,4 +1,4 @@
-"""Gate: lets a few in at once, those of the lowest rank first."""
+"""Semaphore that grants its slots by rank, the lowest rank first."""
 
 import asyncio
 import contextlib
@@ -10,58 +10,58 @@
 
 
 class PrioritySemaphore:
-    """Semaphore whose waiters are served by rank, then in the order of their coming.
+    """Semaphore that serves waiters by rank, and equal ranks in order of arrival.
 
     Parameters
     ----------
-    places : int
-        Holders at once.
+    capacity : int
+        Number of slots, each of which has one holder at a time.
     """
 
-    def __init__(self, places: int):
-        self.places = places
-        self.free = places
-        self.waiting: list[tuple[tuple, int, asyncio.Future]] = []
-        self.numbers = itertools.count()
+    def __init__(self, capacity: int):
+        self.capacity = capacity
+        self.free = capacity
+        self.waiters: list[tuple[tuple, int, asyncio.Future]] = []
+        self.arrival_numbers = itertools.count()
 
     @contextlib.asynccontextmanager
     async def enter(self, rank: tuple) -> AsyncIterator[None]:
-        """Hold a place for the time of the block; the lowest rank waits least."""
+        """Hold a slot for the duration of the block; the lowest rank goes first."""
         await self.acquire(rank)
         try:
             yield
         finally:
             self.release()
 
-    def resize(self, places: int) -> None:
-        """Have another number of holders; who holds a place already keeps it."""
-        added = places - self.places
-        self.places = places
+    def resize(self, capacity: int) -> None:
+        """Change the number of slots; current holders keep theirs."""
+        added = capacity - self.capacity
+        self.capacity = capacity
         if added < 0:
             self.free += added
         for _ in range(added):
             self.release()
 
     async def acquire(self, rank: tuple) -> None:
-        """Wait for a place."""
+        """Take a slot, waiting for one if none is free."""
         if self.free > 0:
             self.free -= 1
             return
-        turn = asyncio.get_running_loop().create_future()
-        heapq.heappush(self.waiting, (rank, next(self.numbers), turn))
+        granted = asyncio.get_running_loop().create_future()
+        heapq.heappush(self.waiters, (rank, next(self.arrival_numbers), granted))
         try:
-            await turn
+            await granted
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
-                # The place was granted while the waiter was being cancelled.
+            if granted.done() and not granted.cancelled():
+                # The slot was granted while the waiter was being cancelled.
                 self.release()
             raise
 
     def release(self) -> None:
-        """Pass a place on to the next waiter, unless there are fewer places now."""
-        while self.waiting and self.free >= 0:
-            turn = heapq.heappop(self.waiting)[2]
-            if not turn.done():
-                turn.set_result(None)
+        """Pass a slot on to the next waiter, unless the capacity was reduced."""
+        while self.waiters and self.free >= 0:
+            granted = heapq.heappop(self.waiters)[2]
+            if not granted.done():
+                granted.set_result(None)
                 return
         self.free += 1
--- a/gypsumshift/jobs/rewardlimiter.py
+++ b/gypsumshift/jobs/rewardlimiter.py
@@ -1,10 +1,10 @@
-"""Rewards: how many reward calls an agent has under way.
+"""Limit on the reward calls that an agent has in flight.
 
-The decision answers an application that serves callers and scores samples with the same
-places. Whatever the number of agents, their reward calls together leave about half of
-the places to callers, also while the application is slow and each call holds one for
-longer: with three calls of each agent, 19 agents held 57 of 36 places, and callers'
-requests stood behind them.
+An application may serve callers and score samples with the same slots. Whatever the
+number of agents, their reward calls together leave about half of the slots to callers,
+also while the application is slow and each call occupies a slot for longer. With a
+fixed limit of three calls per agent, 19 agents had 57 calls in flight on 36 slots, and
+callers' requests queued behind them.
 """
 
 import asyncio
@@ -17,99 +17,112 @@
 from gypsumshift.jobs.prioritysemaphore import PrioritySemaphore
 from gypsumshift.serving.directory import Directory
 
-__all__ = ["RewardLimiter", "share_of_places"]
+__all__ = ["RewardLimiter", "calls_per_agent"]
 
-# Part of an application's places that reward calls of all agents may take, rounded up
-# for each agent. Half of 36 places carries the 280 calls of a step, of 80 ms each, in a
-# third of the time between two steps.
-REWARD_SHARE = 0.5
-# Calls under way where the application's places are not known yet.
-UNKNOWN_SHARE = 1.0
-# Calls of one agent at the most, however few agents there are.
-MOST = 8
-# Seconds for which a call keeps the next one back at the most: one that took long for
-# other reasons says nothing about the next.
-MOST_PAUSE = 1.0
+# Share of an application's slots that the reward calls of all agents may take, rounded
+# up for each agent. Half of 36 slots carries the 280 calls of a step, of 80 ms each, in
+# a third of the time between two steps.
+REWARD_SLOT_SHARE = 0.5
+# Calls in flight while the number of the application's slots is unknown.
+DEFAULT_CALLS = 1.0
+# Maximum of calls in flight per agent, however few agents there are.
+MAX_CALLS = 8
+# Maximum delay between the end of a call and the next one, in seconds: a call that took
+# long for other reasons says nothing about the next.
+MAX_PAUSE = 1.0
 
 
-def share_of_places(places: int, agents: int) -> float:
-    """Return the reward calls that one agent may have under way.
+def calls_per_agent(slots: int, agents: int) -> float:
+    """Return the number of reward calls that one agent may have in flight.
 
     Parameters
     ----------
-    places : int
+    slots : int
         Requests that all servers of the application run at once; 0 for unknown.
     agents : int
-        Agents that share them.
+        Number of agents that share the slots.
 
     Returns
     -------
     float
-        Below 1, the part of the time for which it may have a single one.
+        A value below 1 is the fraction of time in which one call may be in flight.
     """
-    if not places:
-        return UNKNOWN_SHARE
-    return min(REWARD_SHARE * places / max(agents, 1), MOST)
+    if not slots:
+        return DEFAULT_CALLS
+    return min(REWARD_SLOT_SHARE * slots / max(agents, 1), MAX_CALLS)
 
 
 class RewardLimiter:
-    """Lets reward calls through, those of the lowest rank first.
+    """Limits an agent's reward calls in flight, and starts the lowest ranks first.
 
     Parameters
     ----------
     clock : Clock
     directory : Directory
         Lists the application's servers and the engines.
+
+    Attributes
+    ----------
+    call_limit : float
+        Limit in force; see `calls_per_agent`.
+    pause_tasks : set of Task
+        Tasks that release a slot of the semaphore after a pause.
     """
 
     def __init__(self, clock: Clock, directory: Directory):
         self.clock = clock
         self.directory = directory
         self.semaphore = PrioritySemaphore(1)
-        self.share = UNKNOWN_SHARE
-        self.pausing: set[asyncio.Task] = set()
+        self.call_limit = DEFAULT_CALLS
+        self.pause_tasks: set[asyncio.Task] = set()
 
-    def fit(self, reward: RewardCall | None) -> None:
-        """Let as many calls be under way as the application of a call has room for."""
+    def update_limit(self, reward: RewardCall | None) -> None:
+        """Set the limit by the slots of the application that a reward call goes to.
+
+        The limit stays as it is where the call has no route.
+        """
         routes = self.directory.routes
         route = routes.find(reward.host, reward.path) if reward else None
         if route is None:
             return
         servers = self.directory.service(route.service_for(reward.id))
-        places = sum(server.slots for server in servers)
-        self.set_share(share_of_places(places, len(self.directory.engines())))
+        slots = sum(server.slots for server in servers)
+        self.set_call_limit(calls_per_agent(slots, len(self.directory.engines())))
 
-    def set_share(self, share: float) -> None:
-        """Let so many calls be under way; see `share_of_places`."""
-        self.share = share
-        self.semaphore.resize(math.ceil(share))
+    def set_call_limit(self, call_limit: float) -> None:
+        """Set the number of calls that may be in flight; see `calls_per_agent`."""
+        self.call_limit = call_limit
+        self.semaphore.resize(math.ceil(call_limit))
 
     @contextlib.asynccontextmanager
     async def enter(self, rank: tuple) -> AsyncIterator[None]:
-        """Have a call under way for the time of the block."""
+        """Count a call as in flight for the duration of the block."""
         await self.semaphore.acquire(rank)
-        began = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         try:
             yield
         finally:
-            self.leave(self.pause(self.clock.monotonic() - began))
+            self.end_call(self.pause_after(self.clock.monotonic() - started_at))
+
+    def pause_after(self, took: float) -> float:
+        """Return the seconds to wait before the next call, after one that took so long.
 
-    def pause(self, took: float) -> float:
-        """Return the seconds for which a call keeps the next one back."""
-        if self.share >= 1:
+        They keep the fraction of time with a call in flight at a limit below 1.
+        """
+        if self.call_limit >= 1:
             return 0.0
-        return min(took * (1 / self.share - 1), MOST_PAUSE)
+        return min(took * (1 / self.call_limit - 1), MAX_PAUSE)
 
-    def leave(self, pause: float) -> None:
-        """Let the next call in, after a pause."""
+    def end_call(self, pause: float) -> None:
+        """Release the slot of a call that ended, at once or after a pause."""
         if not pause:
             self.semaphore.release()
             return
         task = asyncio.create_task(self.release_after(pause))
-        self.pausing.add(task)
-        task.add_done_callback(self.pausing.discard)
+        self.pause_tasks.add(task)
+        task.add_done_callback(self.pause_tasks.discard)
 
     async def release_after(self, pause: float) -> None:
-        """Let the next call in after a pause, which holds no result up."""
+        """Release a slot after a pause, in a task so that no result is delayed."""
         await self.clock.sleep(pause)
         self.semaphore.release()
