--- a/gypsumshift/jobs/placement.py
+++ b/gypsumshift/jobs/placement.py
@@ -1,13 +1,13 @@
 """Placement: which models an engine serves, and when it loads new weights.
 
-Each agent decides for its own engine from what all see alike: the listed engines, the
-newest steps, and what agents tell of their engines in their heartbeats. An engine stays
-with its model unless that costs balance, since one that changes it has old weights.
-Engines that are built slower serve the models of the shortest items: the longest ones
-take 7.3 s of the 7.5 s of a step, and 9.4 to 10.2 s at such an engine. Loading takes
-0.9 s, and 2.3 s when more than two engines do it at once, and an engine loads nothing
-that its trainer's steps do not need: with every engine on every model, loads cost a
-tenth of what a day earned (measured on a trial).
+Each agent decides for its own engine, from data that is the same for all agents: the
+listed engines, the newest steps, and the heartbeats, in which agents describe their
+engines. An engine keeps its model unless that unbalances the load, since after a change
+it has old weights. Engines of slower hardware serve the models of the shortest items:
+the longest items take 7.3 s of the 7.5 s of a step, and 9.4 to 10.2 s at such an
+engine. A load takes 0.9 s, and 2.3 s when more than two engines load at once. An engine
+loads nothing that its trainer's steps do not need: with every engine on every model,
+loads cost a tenth of a day's earnings (measured on a trial).
 """
 
 import collections
@@ -20,40 +20,41 @@
 from gypsumshift.jobs.pace import is_slower
 
 __all__ = [
+    "AssignmentCache",
     "Demand",
     "EngineView",
     "LoadChoice",
-    "LoadQuestion",
-    "Remembered",
-    "assign",
+    "LoadConditions",
+    "assign_models",
     "choose_load",
 ]
 
-# Steps of a model whose sizes make up its demand.
+# Number of newest steps of a model whose sizes determine its demand.
 STEPS_KEPT = 3
-# Seconds after a version was named by which the second half of the engines loads
-# it: by then the first half has loaded, and takes the work meanwhile.
-SECOND_TURN = 1.3
-# An engine changes its model where the busiest model's load on each engine falls by
-# this factor at least: the sizes of steps differ by a fifth from one to the next, and
-# an engine that changes begins nothing for a second or two.
-WORTH_A_CHANGE = 1.25
-# Load on each engine, against that of the busiest model, up to which a model gives an
-# engine away so that a slower one serves short items: engines were a third full.
-WORTH_A_SLOW = 1.5
-# Models whose longest items are alike within this factor count as of one length.
-ALIKE = 1.3
+# Seconds after a version was announced at which the second half of the engines loads
+# it: by then the first half has loaded it, and takes the work meanwhile.
+SECOND_HALF_DELAY = 1.3
+# An engine changes its model only if the busiest model's load per engine is more than
+# this many times the load per engine that the other model has without the engine. The
+# sizes of steps differ by a fifth from one to the next, and an engine that changes its
+# model starts no item for a second or two.
+REASSIGN_LOAD_RATIO = 1.25
+# A model may lose an engine, so that a slower engine serves short items, while its load
+# per engine stays within this factor of the busiest model's: engines were a third full.
+MAX_DONOR_LOAD_RATIO = 1.5
+# Models whose longest items differ by less than this factor count as equally long.
+SIMILAR_LENGTH_RATIO = 1.3
 
 
 class Demand:
-    """Output tokens that each model is asked for, by its newest steps."""
+    """Demand for each model in output tokens, as estimated for its newest steps."""
 
     def __init__(self):
         self.sizes: dict[str, dict[str, float]] = {}
         self.longest: dict[str, dict[str, int]] = {}
 
-    def add(self, job: Job) -> None:
-        """Take a batch job."""
+    def add_job(self, job: Job) -> None:
+        """Add a batch job's estimates; the oldest job of the model is dropped."""
         sizes = self.sizes.setdefault(job.model, {})
         sizes[job.id] = float(sum(u.hint * len(u.items) for u in job.units))
         longest = self.longest.setdefault(job.model, {})
@@ -62,12 +63,12 @@
             while len(kept) > STEPS_KEPT:
                 del kept[next(iter(kept))]
 
-    def lengths(self) -> dict[str, int]:
-        """Return the longest estimate of each model, in output tokens."""
+    def longest_estimates(self) -> dict[str, int]:
+        """Return the estimate of the longest item of each model, in output tokens."""
         return {model: max(kept.values()) for model, kept in self.longest.items()}
 
     def shares(self, models: tuple[str, ...]) -> dict[str, float]:
-        """Return the share of each model; equal ones where nothing is known."""
+        """Return each model's share of the demand; equal shares until all are known."""
         known = {
             model: sum(sizes.values()) / len(sizes)
             for model, sizes in self.sizes.items()
@@ -81,14 +82,14 @@
 
 @attrs.frozen
 class EngineView:
-    """What is known of an engine that is to be given a model.
+    """Properties of an engine that determine which model it is assigned.
 
     Attributes
     ----------
     id : str
-    home : str
-        Model that it serves; empty for none.
-    usual : float
+    assigned_model : str
+        Model that it serves now; empty for none.
+    usual_pace : float
         Its usual pace; see `Pace.usual`.
     """
 
@@ -97,7 +98,7 @@
     usual_pace: float = 0.0
 
 
-def assign(
+def assign_models(
     engines: list[EngineView], shares: dict[str, float], lengths: dict[str, int]
 ) -> dict[str, tuple[str, ...]]:
     """Return the models that each engine is to serve.
@@ -109,54 +110,54 @@
     shares : dict
         Share of the work by model, summing to 1.
     lengths : dict
-        Longest items by model, as far as known.
+        Estimate of the longest item by model, as far as known.
 
     Returns
     -------
     dict
-        Every model has an engine where there are enough; where there are fewer
-        engines than models, each serves several.
+        Models by engine. Every model has an engine; if there are fewer engines than
+        models, engines serve several.
     """
     engines = sorted(engines, key=lambda engine: engine.id)
     models = sorted(shares)
     if not engines or not models:
         return {}
     if len(engines) <= len(models):
-        placed: dict[str, list[str]] = {engine.id: [] for engine in engines}
+        assignment: dict[str, list[str]] = {engine.id: [] for engine in engines}
         for number, model in enumerate(models):
-            placed[engines[number % len(engines)].id].append(model)
-        return {engine: tuple(own) for engine, own in placed.items()}
+            assignment[engines[number % len(engines)].id].append(model)
+        return {engine: tuple(served) for engine, served in assignment.items()}
     if len(models) == 1:
         return {engine.id: (models[0],) for engine in engines}
     slow = slow_engines(engines)
-    order = by_length(engines, slow, models, lengths)
-    counts = seats(engines, shares, len(slow), order[0])
-    return fill(engines, slow, order, counts)
+    order = sort_by_length(engines, slow, models, lengths)
+    counts = count_engines(engines, shares, len(slow), order[0])
+    return place_engines(engines, slow, order, counts)
 
 
 def slow_engines(engines: list[EngineView]) -> set[str]:
-    """Return the ids of the engines that are built slower than the fastest one."""
+    """Return the ids of the engines whose hardware is slower than the fastest one's."""
     best = min(
         (engine.usual_pace for engine in engines if engine.usual_pace), default=0.0
     )
     return {engine.id for engine in engines if is_slower(engine.usual_pace, best)}
 
 
-def by_length(engines, slow, models, lengths) -> list[str]:
-    """Return models from the shortest to the longest items.
+def sort_by_length(engines, slow, models, lengths) -> list[str]:
+    """Sort models by the length of their longest items, shortest first.
 
-    Where they are alike, the one that slow engines serve already comes first.
+    Of models of similar length, the one that most slow engines serve comes first.
     """
-    homes = collections.Counter(e.assigned_model for e in engines if e.id in slow)
+    assigned = collections.Counter(e.assigned_model for e in engines if e.id in slow)
 
     def rank(model: str) -> tuple[int, int, str]:
         length = max(lengths.get(model, 0), 1)
-        return (round(math.log(length, ALIKE)), -homes[model], model)
+        return (round(math.log(length, SIMILAR_LENGTH_RATIO)), -assigned[model], model)
 
     return sorted(models, key=rank)
 
 
-def seats(engines, shares, slow: int, shortest: str) -> dict[str, int]:
+def count_engines(engines, shares, slow: int, shortest: str) -> dict[str, int]:
     """Return how many engines each model gets, at least one.
 
     Parameters
@@ -164,18 +165,19 @@
     engines : list of EngineView
     shares : dict
     slow : int
-        Engines that are built slower.
+        Number of slower engines.
     shortest : str
-        Model of the shortest items.
+        Model of the shortest items, which gets as many engines as there are slower
+        ones, if the other models can spare them.
     """
-    homes = collections.Counter(engine.assigned_model for engine in engines)
-    counts = {model: homes[model] for model in sorted(shares)}
+    assigned = collections.Counter(engine.assigned_model for engine in engines)
+    counts = {model: assigned[model] for model in sorted(shares)}
 
     def load(model: str, fewer: int = 0) -> float:
         count = counts[model] - fewer
         return shares[model] / count if count > 0 else math.inf
 
-    def give(donor: str, model: str) -> None:
+    def move_engine(donor: str, model: str) -> None:
         counts[donor] -= 1
         counts[model] += 1
 
@@ -186,60 +188,76 @@
     while sum(counts.values()) < len(engines):
         counts[max(counts, key=load)] += 1
     while True:
-        needy = max(counts, key=load)
-        donor = donor_for(needy)
-        if load(donor, 1) * WORTH_A_CHANGE >= load(needy):
+        busiest_model = max(counts, key=load)
+        donor = donor_for(busiest_model)
+        if load(donor, 1) * REASSIGN_LOAD_RATIO >= load(busiest_model):
             break
-        give(donor, needy)
+        move_engine(donor, busiest_model)
     busiest = max(map(load, counts))
     while counts[shortest] < slow:
         donor = donor_for(shortest)
-        if load(donor, 1) > WORTH_A_SLOW * busiest:
+        if load(donor, 1) > MAX_DONOR_LOAD_RATIO * busiest:
             break
-        give(donor, shortest)
+        move_engine(donor, shortest)
     return counts
 
 
-def fill(engines, slow, order, counts) -> dict[str, tuple[str, ...]]:
-    """Return the models of the engines: slow ones first to the shortest items."""
-    left = list(engines)
-    placed = {}
+def place_engines(engines, slow, order, counts) -> dict[str, tuple[str, ...]]:
+    """Assign engines to the models in order, slower engines first.
+
+    Parameters
+    ----------
+    engines : list of EngineView
+    slow : set of str
+        Ids of the slower engines.
+    order : list of str
+        Models, those of the shortest items first.
+    counts : dict
+        Number of engines by model.
+    """
+    unassigned = list(engines)
+    assignment = {}
     for model in order:
-        left.sort(key=functools.partial(seat_rank, model, slow))
-        taken, left = left[: counts[model]], left[counts[model] :]
-        placed |= {engine.id: (model,) for engine in taken}
-    return placed
+        unassigned.sort(key=functools.partial(engine_rank, model, slow))
+        taken, unassigned = unassigned[: counts[model]], unassigned[counts[model] :]
+        assignment |= {engine.id: (model,) for engine in taken}
+    return assignment
+
 
+def engine_rank(model: str, slow, engine: EngineView) -> tuple[bool, int, str]:
+    """Return the rank of an engine for a model: slower ones, then those that serve it.
 
-def seat_rank(model: str, slow, engine: EngineView) -> tuple[bool, int, str]:
-    """Return the rank of an engine for a model: slow ones first, then who stays."""
-    stays = 0 if engine.assigned_model == model else 2 if engine.assigned_model else 1
-    return (engine.id not in slow, stays, engine.id)
+    Engines without a model come before those that serve another one.
+    """
+    preference = (
+        0 if engine.assigned_model == model else 2 if engine.assigned_model else 1
+    )
+    return (engine.id not in slow, preference, engine.id)
 
 
-class Remembered:
-    """Answers `assign`, working it out anew only where something changed.
+class AssignmentCache:
+    """Caches the last result of `assign_models`, while its arguments are equal.
 
-    An agent asks two to four times in each look at its work, five times a second, and
-    the work grows with the engines: 0.07 ms a time with 22 of them.
+    An agent needs it two to four times in each check of its work, five times a second.
+    The cost grows with the number of engines: 0.07 ms per call with 22 of them.
     """
 
     def __init__(self):
-        self.asked: tuple = ()
-        self.answer: dict[str, tuple[str, ...]] = {}
+        self.arguments: tuple = ()
+        self.assignment: dict[str, tuple[str, ...]] = {}
 
     def assign(self, engines, shares, lengths) -> dict[str, tuple[str, ...]]:
-        """Return the models that each engine is to serve; see `assign`."""
-        asked = (engines, shares, lengths)
-        if asked != self.asked:
-            self.asked = asked
-            self.answer = assign(engines, shares, lengths)
-        return self.answer
+        """Return the models that each engine is to serve; see `assign_models`."""
+        arguments = (engines, shares, lengths)
+        if arguments != self.arguments:
+            self.arguments = arguments
+            self.assignment = assign_models(engines, shares, lengths)
+        return self.assignment
 
 
 @attrs.frozen
 class LoadChoice:
-    """A weight version to load, and why.
+    """A weight version to load, and the reason.
 
     Attributes
     ----------
@@ -254,103 +272,113 @@
 
 
 @attrs.frozen
-class LoadQuestion:
-    """What decides whether an engine loads new weights now.
+class LoadConditions:
+    """Conditions that determine whether an engine loads new weights now.
 
     Attributes
     ----------
     model : str
-    own, newest : int
-        Versions that the engine has and that is named.
+    loaded, newest : int
+        Version that the engine has loaded, and the newest announced version.
     needed : int
-        Version that waiting work asks for at least; -1 where none waits.
-    slack : int
-        Versions behind the newest one that steps of the model accept.
+        Oldest version that all waiting units accept; -1 if no unit waits.
+    max_lag : int
+        Number of versions behind the newest one that steps of the model accept.
     versions : tuple of int
-        Versions of all engines of the model, as they told the platform last.
-    turn : int
-        Place of the engine among those, from 0.
-    named_since : float
-        Seconds since the newest version was named, as seen here.
-    step_came : bool
-        Whether the step that the newest version allows has come.
-    restarts : bool
-        Whether a load restarts what runs, since a text must come from one version.
+        Versions of all engines of the model, as last reported to the platform.
+    position : int
+        Index of the engine among those.
+    newest_age : float
+        Seconds since this process first saw the newest version.
+    step_arrived : bool
+        Whether the step has arrived that the newest version allows to be submitted.
+    restarts_items : bool
+        Whether a load restarts the items that are running, because a sample must be
+        generated by one version.
     """
 
     model: str
-    own: int
+    loaded: int
     newest: int
     needed: int
-    slack: int
+    max_lag: int
     versions: tuple[int, ...]
-    turn: int
-    named_since: float
-    step_came: bool
-    restarts: bool = False
+    position: int
+    newest_age: float
+    step_arrived: bool
+    restarts_items: bool = False
 
     @property
-    def begun(self) -> bool:
-        """Whether that step has begun: all its items are at engines."""
-        return self.step_came and self.needed < 0
+    def step_started(self) -> bool:
+        """Whether the step that arrived has started: all its items are at engines."""
+        return self.step_arrived and self.needed < 0
 
     @property
-    def oldest_useful(self) -> int:
-        """Oldest version that the steps to come will accept."""
-        return self.newest - self.slack
+    def oldest_usable(self) -> int:
+        """Oldest version that upcoming steps will accept."""
+        return self.newest - self.max_lag
 
     @property
-    def missing(self) -> int:
-        """Engines that are to load the newest version though steps can use them.
+    def missing_early_loads(self) -> int:
+        """Number of usable engines that should load the newest version early.
 
-        So that half of the engines have it and the next version stops only these:
-        engines that steps cannot use load it in any case.
+        Half of the engines then have it, and the next version stops only the other
+        half. Engines that upcoming steps cannot use load it in any case.
         """
-        fresh = [v for v in self.versions if v >= self.newest or self.useless(v)]
+        fresh = [v for v in self.versions if v >= self.newest or self.is_unusable(v)]
         return len(self.versions) // 2 - len(fresh)
 
     @property
     def half_loaded(self) -> bool:
-        """Whether half of the engines have the newest version."""
+        """Whether half of the engines, rounded down, have the newest version."""
         fresh = sum(version >= self.newest for version in self.versions)
         return fresh >= len(self.versions) // 2
 
     @property
-    def rank(self) -> int:
-        """Place of the engine among those that steps can still use."""
-        before = self.versions[: self.turn]
-        return sum(v < self.newest and not self.useless(v) for v in before)
+    def rank_among_usable(self) -> int:
+        """Index of the engine among usable ones that lack the newest version."""
+        before = self.versions[: self.position]
+        return sum(v < self.newest and not self.is_unusable(v) for v in before)
 
-    def useless(self, version: int) -> bool:
-        """Tell whether the steps to come cannot use an engine with a version."""
-        return version < self.oldest_useful
+    def is_unusable(self, version: int) -> bool:
+        """Return whether upcoming steps cannot use an engine with this version."""
+        return version < self.oldest_usable
 
 
-def choose_load(asked: LoadQuestion) -> LoadChoice | None:
-    """Return the weight version to load now; None to go on as it is.
+def choose_load(conditions: LoadConditions) -> LoadChoice | None:
+    """Return the weight version to load now; None to load nothing.
 
-    What runs goes on while weights load, but nothing new begins for 0.9 s. Where steps
+    Running items continue while weights load, but no item starts for 0.9 s. If steps
     accept the version before the newest, an engine therefore loads right after a step
-    has begun, when nothing waits for it, half of the engines first. Loading only once
-    a step needed it, a lone engine began every other step 1.0 to 1.2 s late, of the
-    7.5 s that the step had (logs of a play with three models on five engines).
-    Where steps accept the newest only, the second half loads after the first. Decided
-    by the versions of all engines rather than by turns alone, which shift when an
-    engine comes or goes: then all of them loaded at once, and a step began 1.1 s late.
+    has started, when no unit waits for it, half of the engines first. When it loaded
+    only once a step needed the version, a single engine started every other step 1.0 to
+    1.2 s late, of the 7.5 s that the step had (logs of a simulated day with three
+    models on five engines). If steps accept the newest version only, the second half of
+    the engines loads after the first.
+
+    The versions of all engines decide, not their positions alone, which shift when an
+    engine is added or removed: all engines then loaded at once, and a step started
+    1.1 s late.
     """
-    if asked.own >= asked.newest:
+    if conditions.loaded >= conditions.newest:
         return None
-    if asked.needed > asked.own:
-        reason = "waiting work needs it"
-    elif asked.useless(asked.own):
-        first = asked.slack or (asked.turn + asked.newest) % 2 == 0
-        if not first and asked.named_since < SECOND_TURN:
+    if conditions.needed > conditions.loaded:
+        reason = "waiting units require a newer version"
+    elif conditions.is_unusable(conditions.loaded):
+        first = conditions.max_lag or (conditions.position + conditions.newest) % 2 == 0
+        if not first and conditions.newest_age < SECOND_HALF_DELAY:
             return None
-        reason = "steps to come cannot use what it has"
-    elif asked.rank < asked.missing and (asked.begun or asked.restarts):
-        reason = "half of the engines are to have it"
-    elif asked.half_loaded and asked.begun and not asked.restarts:
-        reason = "the step that it allows has begun"
+        reason = "upcoming steps do not accept the loaded version"
+    elif conditions.rank_among_usable < conditions.missing_early_loads and (
+        conditions.step_started or conditions.restarts_items
+    ):
+        reason = "half of the engines should have the newest version"
+    elif (
+        conditions.half_loaded
+        and conditions.step_started
+        and not conditions.restarts_items
+    ):
+        reason = "the step that the newest version allows has started"
     else:
         return None
-    return LoadChoice(asked.model, asked.newest, reason)
+    return LoadChoice(conditions.model, conditions.newest, reason)
--- a/gypsumshift/jobs/weights.py
+++ b/gypsumshift/jobs/weights.py
@@ -1,4 +1,4 @@
-"""Weights: keeps the weights of one engine as fresh as its trainers' steps need."""
+"""Orders an engine to load the weight versions that its trainers' steps need."""
 
 import attrs
 
@@ -15,23 +15,24 @@
 
 __all__ = ["WeightManager"]
 
-# Seconds before an order without an answer is given again.
-ORDER_RETRY = 1.0
-# Seconds after an order in which a report may still be older than it.
-ORDER_SETTLE = 0.2
-# Seconds after a version was named within which its order is given: two reports.
-ORDER_DUE = 0.4
-# Versions behind the newest one that a step accepts, until one tells otherwise: the
-# first steps of a trainer accept all versions that there are, which tells nothing.
-SLACK_USUAL = 1
+# Seconds before another order is sent, such as after one without a response.
+ORDER_RETRY_INTERVAL = 1.0
+# Seconds after an order in which a report may still precede the order.
+ORDER_SETTLE_TIME = 0.2
+# Seconds after a version was announced within which its load is ordered: two reports.
+ORDER_DUE_WITHIN = 0.4
+# Number of versions behind the newest one that steps are assumed to accept, until a
+# step shows otherwise: the first steps of a trainer accept all existing versions, which
+# says nothing about later ones.
+DEFAULT_MAX_LAG = 1
 FIRST_VERSION = 1
-ACCEPTED = (200, 202)
+ACCEPTED_STATUSES = (200, 202)
 
 log = logs.logger("weights")
 
 
 class WeightManager:
-    """Gives an engine its orders; nobody else does.
+    """Sends one engine its orders to load weights; no other component sends them.
 
     Parameters
     ----------
@@ -45,11 +46,14 @@
     ----------
     demand : Demand
     fence : int
-        Grows with each start of this process; 0 until orders may be given.
-    loading : str
-        Model whose weights the engine loads; empty for none.
-    slack : dict
-        Versions behind the newest one that the newest step accepted, by model.
+        Fencing token, which grows with each start of this process; 0 until orders may
+        be sent.
+    loading_model : str
+        Model whose weights the engine is loading; empty for none.
+    newest_seen_at : dict
+        Newest version and the time at which this process first saw it, by model.
+    max_lags : dict
+        Number of versions behind the newest one that the last step accepted, by model.
     newest_jobs : dict
         `Job` of the newest step, by model.
     """
@@ -70,37 +74,39 @@
         self.demand = placement.Demand()
         self.fence = 0
         self.loading_model = ""
-        self.order_at = float("-inf")
-        self.named_at: dict[str, tuple[int, float]] = {}
-        self.slack: dict[str, int] = {}
+        self.ordered_at = float("-inf")
+        self.newest_seen_at: dict[str, tuple[int, float]] = {}
+        self.max_lags: dict[str, int] = {}
         self.newest_jobs: dict[str, Job] = {}
-        self.placement = placement.Remembered()
+        self.assignment_cache = placement.AssignmentCache()
 
     def note_job(self, job: Job) -> None:
-        """Learn from a new batch job what is asked of its model, and how fresh."""
-        self.demand.add(job)
+        """Update the demand and the accepted versions of a new batch job's model."""
+        self.demand.add_job(job)
         known = self.newest_jobs.get(job.model)
         if known is None or job.step >= known.step:
             self.newest_jobs[job.model] = job
         if job.oldest_version > FIRST_VERSION:
             newest = self.station.directory.newest.get(job.model, FIRST_VERSION)
-            self.slack[job.model] = max(0, newest - job.oldest_version)
+            self.max_lags[job.model] = max(0, newest - job.oldest_version)
 
-    def placed(self) -> dict[str, tuple[str, ...]]:
-        """Return the models of each engine of the service."""
+    def assignment(self) -> dict[str, tuple[str, ...]]:
+        """Return the models that each engine of the service is to serve."""
         limits = self.station.limits
         if limits is None:
             return {}
-        told = self.board.peers.engines()
+        views = self.board.peers.engines()
         engines = [
-            self.considered(told.get(peer.start, placement.EngineView(peer.id)))
+            self.apply_policy(views.get(peer.start, placement.EngineView(peer.id)))
             for peer in self.station.peers
         ]
         shares = self.demand.shares(limits.models)
-        return self.placement.assign(engines, shares, self.demand.lengths())
+        return self.assignment_cache.assign(
+            engines, shares, self.demand.longest_estimates()
+        )
 
-    def considered(self, engine: placement.EngineView) -> placement.EngineView:
-        """Return what the policy lets count of an engine."""
+    def apply_policy(self, engine: placement.EngineView) -> placement.EngineView:
+        """Return an engine without the properties that the policy ignores."""
         if not self.policy.settled_models:
             engine = attrs.evolve(engine, assigned_model="")
         if not self.policy.slow_engines_short_items:
@@ -108,63 +114,65 @@
         return engine
 
     def assigned_model(self) -> str:
-        """Return the model that the engine is set to serve; empty for several."""
+        """Return the model that the engine is to serve; empty for none or several."""
         models = self.assigned_models()
         return models[0] if len(models) == 1 else ""
 
     def ready_versions(self) -> dict[str, int]:
-        """Return the versions of the models for which the engine takes new work now."""
+        """Return the loaded versions of the models whose items may start now."""
         versions = self.station.versions
-        return {m: n for m, n in versions.items() if not self.holds_back(m)}
+        return {m: n for m, n in versions.items() if not self.is_loading_or_due(m)}
 
-    def holds_back(self, model: str) -> bool:
-        """Tell whether the engine loads weights of a model now or is about to."""
+    def is_loading_or_due(self, model: str) -> bool:
+        """Return whether the engine is loading weights of a model or is about to."""
         if model == self.loading_model:
             return True
         report = self.station.report
         if report is None or model not in self.assigned_models():
             return False
-        asked = self.question(report, model, self.engines_serving(model))
-        due = asked.named_since < ORDER_DUE
-        return due and placement.choose_load(asked) is not None
+        conditions = self.load_conditions(report, model, self.engines_serving(model))
+        due = conditions.newest_age < ORDER_DUE_WITHIN
+        return due and placement.choose_load(conditions) is not None
 
     def engines_serving(self, model: str) -> list[str]:
-        """Return the ids of the engines that serve a model, in the order of turns."""
-        placed = self.placed()
-        return [engine for engine in sorted(placed) if model in placed[engine]]
+        """Return the sorted ids of the engines that are to serve a model."""
+        assignment = self.assignment()
+        return [engine for engine in sorted(assignment) if model in assignment[engine]]
 
     def assigned_models(self) -> tuple[str, ...]:
         """Return the models that the engine is to serve."""
         server = self.station.server
-        return self.placed().get(server.id, ()) if server else ()
+        return self.assignment().get(server.id, ()) if server else ()
 
     def note_report(self, report: EngineReport) -> None:
-        """Take a report: an engine that is not busy has loaded."""
-        settled = self.clock.monotonic() - self.order_at > ORDER_SETTLE
+        """Process a report: an engine that is not busy has completed its load."""
+        settled = self.clock.monotonic() - self.ordered_at > ORDER_SETTLE_TIME
         if not report.busy and settled:
             self.loading_model = ""
 
     def reset_load_state(self) -> None:
-        """Take that the engine started again: its orders are those of another."""
+        """Discard the state of orders to an engine process that was replaced."""
         self.loading_model = ""
-        self.order_at = float("-inf")
+        self.ordered_at = float("-inf")
 
     async def order_due_load(self, report: EngineReport) -> None:
-        """Order newer weights where they are due."""
+        """Order the engine to load a newer version if one is due."""
         server = self.station.server
         if server is None or report.busy or not self.fence:
             return
-        if self.clock.monotonic() - self.order_at < ORDER_RETRY:
+        if self.clock.monotonic() - self.ordered_at < ORDER_RETRY_INTERVAL:
             return
         for model in self.assigned_models():
-            asked = self.question(report, model, self.engines_serving(model))
-            choice = placement.choose_load(asked)
+            conditions = self.load_conditions(
+                report, model, self.engines_serving(model)
+            )
+            choice = placement.choose_load(conditions)
             if choice is not None:
-                await self.give_order(server, report, choice)
+                await self.send_load_order(server, report, choice)
                 return
 
-    def question(self, report, model: str, engines) -> placement.LoadQuestion:
-        """Return what decides whether the engine loads weights of a model now.
+    def load_conditions(self, report, model: str, engines) -> placement.LoadConditions:
+        """Return the conditions that determine whether a model's weights are loaded.
 
         Parameters
         ----------
@@ -175,39 +183,39 @@
         """
         newest = self.station.directory.newest.get(model, FIRST_VERSION)
         servers = self.station.directory.servers
-        seen, since = self.named_at.get(model, (0, 0.0))
+        seen, seen_at = self.newest_seen_at.get(model, (0, 0.0))
         now = self.clock.monotonic()
         if seen != newest:
-            since = now
-            self.named_at[model] = (newest, now)
-        slack = self.slack.get(model, SLACK_USUAL)
+            seen_at = now
+            self.newest_seen_at[model] = (newest, now)
+        max_lag = self.max_lags.get(model, DEFAULT_MAX_LAG)
         job = self.newest_jobs.get(model)
         route = self.station.directory.routes.find(job.host, job.path) if job else None
         one_version = route is not None and route.one_version
-        return placement.LoadQuestion(
+        return placement.LoadConditions(
             model=model,
-            own=report.versions.get(model, 0),
+            loaded=report.versions.get(model, 0),
             newest=newest,
             needed=self.board.waiting(model),
-            slack=slack,
+            max_lag=max_lag,
             versions=tuple(servers[e].models.get(model, 0) for e in engines),
-            turn=engines.index(self.station.server.id),
-            named_since=now - since,
-            step_came=job is not None and job.oldest_version >= newest - slack,
-            restarts=not self.policy.loads_behind_steps or one_version,
+            position=engines.index(self.station.server.id),
+            newest_age=now - seen_at,
+            step_arrived=job is not None and job.oldest_version >= newest - max_lag,
+            restarts_items=not self.policy.loads_behind_steps or one_version,
         )
 
-    async def give_order(self, server, report, choice) -> None:
-        """Order the engine to load weights."""
+    async def send_load_order(self, server, report, choice) -> None:
+        """Send the engine an order to load weights, and log its response."""
         holder = self.station.home.name
         order = WeightLoadOrder(
             choice.model, choice.version, holder, self.fence, report.orders
         )
-        self.order_at = self.clock.monotonic()
+        self.ordered_at = self.clock.monotonic()
         answer = await self.station.engine.send_order(server, order)
         status = answer.status if isinstance(answer, Answered) else 0
         self.metrics.count("orders", status=str(status))
-        self.loading_model = choice.model if status in ACCEPTED else ""
+        self.loading_model = choice.model if status in ACCEPTED_STATUSES else ""
         logs.event(
             log,
             "Ordered new weights.",
