--- a/gypsumshift/jobs/engine.py
+++ b/gypsumshift/jobs/engine.py
@@ -117,7 +117,7 @@
     """
 
     def __init__(self, status: int, counts_as_failure: bool):
-        super().__init__(f"status {status}")
+        super().__init__(f"engine refused the item with status {status}")
         self.status = status
         self.counts_as_failure = counts_as_failure
 
--- a/gypsumshift/jobs/itemrun.py
+++ b/gypsumshift/jobs/itemrun.py
@@ -1,4 +1,4 @@
-"""Item run: one item of a batch job, from its first token to its score."""
+"""Run of one batch-job item: generation on an engine, then the reward call."""
 
 import functools
 import json
@@ -22,28 +22,29 @@
 
 __all__ = ["ItemRun"]
 
-# Seconds before an item goes to its engine again after a broken or refused stream:
-# some tokens' time, so that an engine that restarts is not flooded.
+# Seconds before an item is sent to its engine again after a broken or refused stream:
+# the time of some tokens, so that a restarting engine is not flooded.
 RETRY_PAUSE = 0.1
-# Runs that an item gets where its route is not known any more.
-ATTEMPTS_DEFAULT = 3
-# Seconds for one try of a reward call: several times its usual 0.1 to 0.2 s, and
-# short enough to try again before the step is due in some 7 s.
+# Failed runs after which an item is given up whose route is no longer configured.
+DEFAULT_ATTEMPTS = 3
+# Time-out of one attempt of a reward call, in seconds: several times its usual 0.1 to
+# 0.2 s, and short enough for another attempt before the step is due in some 7 s.
 SCORE_TIMEOUT = 1.5
-# Seconds between tries of a reward call.
-SCORE_PAUSE = 0.1
-UNPROCESSABLE = 422
-# Events after which a run is saved: a second's worth. Most items are shorter.
-EVENTS_TO_SAVE = 20
-# Bytes of the events in one row, below the 64 KiB that a store takes.
-PARTIAL_SIZE = 60_000
+# Seconds between attempts of a reward call.
+SCORE_RETRY_PAUSE = 0.1
+HTTP_UNPROCESSABLE = 422
+# New events after which a run's output is saved: one second's worth. Most items are
+# shorter.
+SAVE_INTERVAL_EVENTS = 20
+# Maximum size of the saved events in one row, below the store's limit of 64 KiB.
+MAX_PARTIAL_BYTES = 60_000
 
 log = logs.logger("items")
 
 
 @attrs.define
 class ItemRun:
-    """Runs one item on an engine, resuming it as often as needed.
+    """State and operations of one item's run, which resumes after broken streams.
 
     Attributes
     ----------
@@ -55,26 +56,27 @@
     names : HeaderNames
     clock : Clock
     pace : Pace
-        Learns the time between two events.
+        Collects the times between events.
     events : list of str
-        Data of the events so far.
+        Data of the events received so far.
     versions : list of int
         Weight versions that generated them, in the order of their use.
     failures : int
-        Runs that the engine answered with a failure.
-    progress_at : float
-        When the last event of this stream came, by the monotonic clock, in
-        seconds; 0 before the first.
-    began_at : float
-        When the first event of all came here, in the same way.
+        Number of runs that the engine answered with a failure.
+    last_event_at : float
+        When the last event of the current stream was received, by the monotonic
+        clock, in seconds; 0 before the first.
+    first_event_at : float
+        When this process received the item's first event, in the same way.
     longest_gap : float
         Longest time between two events of one stream, in seconds.
-    saved : int
-        Events that the store has for whoever takes the item over.
+    saved_events : int
+        Number of events in the store, for an agent that takes the item over.
     generated : bool
-        Whether its output is whole.
-    held : bool
-        Whether it waits, since servers ended under it or under its reward call.
+        Whether the output is complete.
+    held_back : bool
+        Whether the item waits because servers crashed while they ran it or its
+        reward call.
     """
 
     job: Job
@@ -88,8 +90,8 @@
     events: list[str] = attrs.field(factory=list)
     versions: list[int] = attrs.field(factory=list)
     failures: int = 0
-    progress_at: float = 0.0
-    began_at: float = 0.0
+    last_event_at: float = 0.0
+    first_event_at: float = 0.0
     longest_gap: float = 0.0
     saved_events: int = 0
     generated: bool = False
@@ -97,44 +99,50 @@
 
     @functools.cached_property
     def fingerprint(self) -> str:
-        """What is the same each time that this item is run; see `Call`."""
+        """Fingerprint of the item's request, equal in each run; see `Call`."""
         job, item = self.job, self.item
         return fingerprint("POST", job.host, item.path, job.workspace, item.body)
 
     @property
     def route(self) -> Route | None:
-        """Route of the job, by the configuration in force."""
+        """Route of the job by the current configuration; None without one."""
         return self.directory.routes.find(self.job.host, self.job.path)
 
     @property
     def attempts(self) -> int:
-        """Runs that may fail before the item is given up."""
-        return self.route.attempts if self.route else ATTEMPTS_DEFAULT
+        """Number of failed runs after which the item is given up."""
+        return self.route.attempts if self.route else DEFAULT_ATTEMPTS
 
     def expired(self, now: float) -> bool:
-        """Tell whether the item may be given up by its age, at a time of the store."""
-        keeps = self.route.retention if self.route else None
-        return keeps is not None and now >= self.job.submitted + keeps.total_seconds()
+        """Return whether the job's retention is over at ``now``, by the store's clock.
+
+        An item that is held back is given up then.
+        """
+        retention = self.route.retention if self.route else None
+        return (
+            retention is not None
+            and now >= self.job.submitted + retention.total_seconds()
+        )
 
     def resume(self, partial: Partial) -> None:
-        """Go on from what another agent generated, if its versions suit."""
+        """Continue from another agent's output if its weight versions are accepted."""
         if partial.versions and min(partial.versions) >= self.job.oldest_version:
             self.events = list(partial.events)
             self.versions = list(partial.versions)
 
     def make_partial(self) -> Partial | None:
-        """Return what was generated so far, for another agent; None if too long."""
-        if not self.events or len(json.dumps(self.events)) > PARTIAL_SIZE:
+        """Return the output so far for another agent; None if empty or too long."""
+        if not self.events or len(json.dumps(self.events)) > MAX_PARTIAL_BYTES:
             return None
         return Partial(self.item.id, tuple(self.events), tuple(self.versions))
 
     @property
     def needs_saving(self) -> bool:
-        """Whether so much was generated that it should be saved."""
-        return len(self.events) - self.saved_events >= EVENTS_TO_SAVE
+        """Whether enough new events were generated to save the output."""
+        return len(self.events) - self.saved_events >= SAVE_INTERVAL_EVENTS
 
     async def generate(self, server: BackendServer) -> Result | None:
-        """Generate on one engine until the output is whole.
+        """Generate the rest of the output on one engine.
 
         Returns
         -------
@@ -144,36 +152,42 @@
         Raises
         ------
         StreamBroken
-            The engine broke off; what came is kept.
+            The stream ended early; the events received so far are kept.
         """
         try:
             rank = urgency(self.job, self.item)
             stream = self.engine.stream(
                 server, self.item, self.job, len(self.events), rank
             )
-            self.progress_at = 0.0
+            self.last_event_at = 0.0
             async for event in stream:
-                self.take(event)
+                self.append_event(event)
         except StreamRefused as refusal:
-            return self.refused(refusal)
+            return self.handle_refusal(refusal)
         if not self.events:
-            raise StreamBroken("the stream held no event")
+            raise StreamBroken(f"stream of item {self.item.id} ended without an event")
         return None
 
-    def refused(self, refusal: StreamRefused) -> Result:
-        """Count a refusal; return a result where the item can never be done."""
+    def handle_refusal(self, refusal: StreamRefused) -> Result:
+        """Count a refusal; return the result of an item that is given up.
+
+        Raises
+        ------
+        StreamBroken
+            The item may be tried again.
+        """
         if refusal.counts_as_failure:
             self.failures += 1
-        hopeless = refusal.status == UNPROCESSABLE or self.failures >= self.attempts
-        if not hopeless:
+        final = refusal.status == HTTP_UNPROCESSABLE or self.failures >= self.attempts
+        if not final:
             reason, replaced = str(refusal), refusal.replaced
             raise StreamBroken(
                 reason, replaced, sent=refusal.counts_as_failure
             ) from refusal
-        return self.give_up(f"status {refusal.status}")
+        return self.give_up(f"engine refused the item with status {refusal.status}")
 
     def give_up(self, reason: str) -> Result:
-        """Return the result of an item that is given up."""
+        """Log that the item is given up, and return its result."""
         logs.event(
             log,
             "An item is given up.",
@@ -184,52 +198,72 @@
         )
         return Result(self.item.id, ResultState.GIVEN_UP)
 
-    def take(self, event: Event) -> None:
-        """Take the next event; one out of order breaks the stream."""
+    def append_event(self, event: Event) -> None:
+        """Append the next event of the output.
+
+        Raises
+        ------
+        StreamBroken
+            The event is out of order, or its weight version is not accepted; in the
+            latter case the output is discarded.
+        """
         if event.number != len(self.events) + 1:
             expected = len(self.events) + 1
-            raise StreamBroken(f"event {event.number} instead of {expected}")
+            raise StreamBroken(
+                f"received event {event.number} instead of event {expected}"
+            )
         if event.version < self.job.oldest_version:
-            self.restart()
-            raise StreamBroken(f"weights {event.version} are too old")
+            self.discard_output()
+            raise StreamBroken(
+                f"weight version {event.version} is older than version "
+                f"{self.job.oldest_version}, the oldest that the job accepts; "
+                "output discarded"
+            )
         mixed = self.versions and event.version not in self.versions
         if mixed and self.route and self.route.one_version:
-            self.restart()
-            raise StreamBroken("the weights changed inside a sample")
+            self.discard_output()
+            raise StreamBroken(
+                f"weight version changed to {event.version} within a sample, and the "
+                "route requires one version; output discarded"
+            )
         self.events.append(event.data)
         if event.version not in self.versions:
             self.versions.append(event.version)
         now = self.clock.monotonic()
-        # The first event of a run waits for a slot and for the prompt.
-        if self.progress_at:
-            gap = now - self.progress_at
+        # The time to a stream's first event includes the wait for a slot and the
+        # processing of the prompt, so it is no gap between events.
+        if self.last_event_at:
+            gap = now - self.last_event_at
             self.pace.note(gap)
             self.longest_gap = max(self.longest_gap, gap)
-        self.progress_at = now
-        self.began_at = self.began_at or now
+        self.last_event_at = now
+        self.first_event_at = self.first_event_at or now
 
-    def restart(self) -> None:
-        """Drop what was generated."""
+    def discard_output(self) -> None:
+        """Discard the output so far."""
         self.events.clear()
         self.versions.clear()
         self.saved_events = 0
 
-    async def score(self) -> str | HeldBack:
-        """Have the whole text scored; tries until it is, or has failed too often.
+    async def request_score(self) -> str | HeldBack:
+        """Send the reward call until it succeeds, fails too often or is held back.
 
         Returns
         -------
         str or HeldBack
-            Signature of the answer; empty where the call failed for good.
+            Signature of the response; empty where the call failed as often as its
+            route allows.
         """
         reward = self.item.reward
         failures = 0
         while True:
             route = self.directory.routes.find(reward.host, reward.path)
             if route is None:
-                await self.clock.sleep(SCORE_PAUSE)
+                await self.clock.sleep(SCORE_RETRY_PAUSE)
                 continue
-            answer = await self.forwarder.forward(self.score_call(route, failures > 0))
+            answer = await self.forwarder.forward(
+                self.build_score_call(route, failures > 0)
+            )
             if isinstance(answer, HeldBack):
                 return answer
             if isinstance(answer, Answered):
@@ -239,12 +273,12 @@
                 failures += 1
                 if failures >= route.attempts:
                     return ""
-            await self.clock.sleep(SCORE_PAUSE)
+            await self.clock.sleep(SCORE_RETRY_PAUSE)
 
-    def score_call(self, route: Route, suspect: bool) -> Call:
-        """Return one try of the reward call; see `Call` on ``suspect``."""
+    def build_score_call(self, route: Route, suspect: bool) -> Call:
+        """Build one attempt of the reward call; see `Call` for ``suspect``."""
         reward = self.item.reward
-        # One server a try, so that each answer counts once against the limit.
+        # One server per attempt, so that each response counts once against the limit.
         once = attrs.evolve(route, kind=RequestKind.SAFE, attempts=1)
         return Call(
             reward.id,
@@ -259,10 +293,10 @@
         )
 
     async def finish(self) -> Result | HeldBack:
-        """Return the result of a whole text, unless its reward call is held back."""
+        """Score the complete output and return its result, or that it is held back."""
         signature = ""
         if self.item.reward is not None:
-            signature = await self.score()
+            signature = await self.request_score()
             if isinstance(signature, HeldBack):
                 return signature
             if not signature:
