--- a/gypsumshift/jobs/itemrunner.py
+++ b/gypsumshift/jobs/itemrunner.py
@@ -1,6 +1,6 @@
-"""Item steps: an item in its place of the engine, and in the gate of reward calls.
+"""Runs items in the engine's slots and their reward calls under the agent's limit.
 
-What is held back, since servers ended under it, waits outside of both.
+Items that are held back because servers crashed while running them use neither.
 """
 
 import asyncio
@@ -23,16 +23,16 @@
 
 __all__ = ["ItemRunner"]
 
-# Longest wait of an item that is held back until it asks again, in seconds.
-HELD_PAUSE = 1.0
+# Longest wait of an item that is held back before it is tried again, in seconds.
+MAX_HELD_BACK_PAUSE = 1.0
 # HTTP status of a stream that was read to its end.
-WHOLE = 200
+HTTP_OK = 200
 
 log = logs.logger("units")
 
 
 class ItemRunner:
-    """Owns the places of the engine and the gate, and takes items through them.
+    """Limits how many items an agent generates and scores at once, and runs them.
 
     Parameters
     ----------
@@ -40,16 +40,18 @@
     weights : WeightManager
     guard : Guard
     store : RowStore
-        Tells the time by which items age.
+        Provides the time by which the age of items is determined.
     clock : Clock
     metrics : Metrics
-    changed : callable
-        Called when there may be room for more.
+    on_capacity_change : callable
+        Called when the engine may have room for more items.
 
     Attributes
     ----------
-    running : list of str
-        Fingerprints of the items that the engine runs now.
+    running_fingerprints : list of str
+        Fingerprints of the items that the engine is running.
+    slots : asyncio.Semaphore
+        Slots of the engine.
     """
 
     def __init__(
@@ -60,7 +62,7 @@
         store: RowStore,
         clock: Clock,
         metrics: Metrics,
-        changed: Callable[[], None],
+        on_capacity_change: Callable[[], None],
     ):
         self.station = station
         self.weights = weights
@@ -68,103 +70,111 @@
         self.store = store
         self.clock = clock
         self.metrics = metrics
-        self.changed = changed
+        self.on_capacity_change = on_capacity_change
         self.reward_limiter = RewardLimiter(clock, station.directory)
-        self.places = asyncio.Semaphore(1)
-        self.place_count = 1
-        self.running: list[str] = []
+        self.slots = asyncio.Semaphore(1)
+        self.slot_count = 1
+        self.running_fingerprints: list[str] = []
 
     def set_slot_count(self, count: int) -> None:
-        """Let so many items run at once."""
-        if count != self.place_count:
-            self.place_count = count
-            self.places = asyncio.Semaphore(count)
+        """Set how many items may be generated at once."""
+        if count != self.slot_count:
+            self.slot_count = count
+            self.slots = asyncio.Semaphore(count)
 
     async def score(self, run: ItemRun) -> Result:
-        """Have an item scored that left its place."""
-        self.changed()
+        """Score an item that has left its slot; return its result."""
+        self.on_capacity_change()
         while True:
-            self.reward_limiter.fit(run.item.reward)
+            self.reward_limiter.update_limit(run.item.reward)
             async with self.reward_limiter.enter(score_rank(run)):
                 outcome = await run.finish()
             if isinstance(outcome, HeldBack):
-                # Not in the gate: the reward calls of the other items go on.
-                outcome = await self.wait_held(run, outcome)
+                # Waits outside of the limiter: other items' reward calls go on.
+                outcome = await self.wait_held_back(run, outcome)
             if outcome is not None:
                 return outcome
 
     async def generate(self, run: ItemRun) -> Result | None:
-        """Generate one item; return a result only where it is given up."""
+        """Generate one item; return a result only if it is given up."""
         while True:
-            async with self.places:
-                outcome = await self.try_once(run)
+            async with self.slots:
+                outcome = await self.try_generate(run)
             if run.generated or isinstance(outcome, Result):
                 return outcome
             if isinstance(outcome, HeldBack):
-                outcome = await self.wait_held(run, outcome)
+                outcome = await self.wait_held_back(run, outcome)
                 if outcome is not None:
                     return outcome
                 continue
-            # An engine that loads a model's weights refuses its requests: asking
-            # ten times a second was 4 of 10 requests on a calm day.
+            # An engine that loads a model's weights refuses its requests: retries
+            # ten times a second were 4 of 10 requests on a day without faults.
             await self.clock.sleep(RETRY_PAUSE)
 
-    async def try_once(self, run: ItemRun) -> Result | HeldBack | None:
-        """Generate one item, where the engine and the guard take it now."""
+    async def try_generate(self, run: ItemRun) -> Result | HeldBack | None:
+        """Generate one item if the engine and the guard admit it now.
+
+        Returns None also where it is to be tried again.
+        """
         server = self.station.server
         if server is None or self.weights.loading_model == run.job.model:
             return None
-        if self.guard.quarantine.keeps_apart(run.fingerprint, self.running):
+        if self.guard.quarantine.keeps_apart(
+            run.fingerprint, self.running_fingerprints
+        ):
             return None
-        self.running.append(run.fingerprint)
+        self.running_fingerprints.append(run.fingerprint)
         try:
             permit = await self.guard.admit(run.fingerprint, run.item.id)
             if isinstance(permit, HeldBack):
                 return permit
-            return await self.generate_at(run, server, permit)
+            return await self.generate_with_permit(run, server, permit)
         finally:
-            self.running.remove(run.fingerprint)
+            self.running_fingerprints.remove(run.fingerprint)
 
-    async def generate_at(
+    async def generate_with_permit(
         self, run: ItemRun, server: BackendServer, permit: Permit
     ) -> Result | None:
-        """Generate one item at the engine by leave of the guard."""
+        """Generate one item at the engine, and report the outcome to the guard."""
         ran = True
         from_start = not run.events
         try:
             result = await run.generate(server)
             run.generated = result is None
             if run.generated:
-                self.guard.answered(permit, WHOLE, from_start)
+                self.guard.answered(permit, HTTP_OK, from_start)
             return result
         except StreamBroken as error:
             ran = error.sent
-            await self.note_broken(run, server, error, permit)
+            await self.handle_broken_stream(run, server, error, permit)
             return None
         finally:
             self.guard.close(permit, ran)
 
-    async def wait_held(self, run: ItemRun, held: HeldBack) -> Result | None:
-        """Wait until an item may be tried again; return the result of one given up.
+    async def wait_held_back(self, run: ItemRun, held: HeldBack) -> Result | None:
+        """Wait until an item may be tried again; return a result if it is given up.
 
-        It takes no place meanwhile, and is given up only by its age: another release
-        of the engine may not end under it.
+        It takes no slot meanwhile, and is given up only by its age: another release
+        of the engine may not crash under it.
         """
         if run.expired(self.store.now().total_seconds()):
             return run.give_up(held.reason)
         run.held_back = True
-        self.changed()
-        pause = min(held.retry_after.total_seconds(), HELD_PAUSE)
+        self.on_capacity_change()
+        pause = min(held.retry_after.total_seconds(), MAX_HELD_BACK_PAUSE)
         try:
             await self.clock.sleep(pause)
         finally:
             run.held_back = False
         return None
 
-    async def note_broken(
+    async def handle_broken_stream(
         self, run: ItemRun, server: BackendServer, error: StreamBroken, permit: Permit
     ) -> None:
-        """Take note of a stream that broke, and of an engine that ended; it goes on."""
+        """Log a broken stream; record a crash of the engine or its replacement.
+
+        The item is tried again.
+        """
         directory, fetcher = self.station.directory, self.station.engine.fetcher
         ended = error.closed and await is_gone(directory, fetcher, server)
         if ended:
@@ -186,9 +196,10 @@
 
 
 def score_rank(run: ItemRun) -> tuple[float, int]:
-    """Return the rank of a reward call: items that end an older step go first.
+    """Return the rank of a reward call: items of older steps, then longer ones first.
 
     The last and longest items of a step are generated when the next step's many short
-    ones wait for their scores; behind them, they lost up to 0.8 s of the step's 7 s.
+    ones wait for their scores. Queued behind those, they lost up to 0.8 s of the
+    step's 7 s.
     """
     return (run.job.submitted, -len(run.events))
--- a/gypsumshift/jobs/unitmigrator.py
+++ b/gypsumshift/jobs/unitmigrator.py
@@ -1,8 +1,9 @@
-"""Mover: long items go from an engine that is built slower to the faster ones.
+"""Migration of units with long items from slower engines to faster ones.
 
-The decision answers the first step of a day, and any whose engine changed its model:
-items begin before the pace of their engine is known. The longest of them take 10.2 s
-there, and 7.5 s at a faster engine (logs of a play), of the 7.5 s of a step.
+It is needed in the first step of a day, and in a step whose engine changed its model:
+items then start before the pace of their engine is known. The longest ones take 10.2 s
+at a slower engine and 7.5 s at a faster one, of the 7.5 s of a step (logs of a
+simulated day).
 """
 
 from gypsumshift.clock import Clock
@@ -15,16 +16,17 @@
 
 __all__ = ["UnitMigrator"]
 
-# An item goes where its estimate is this many times the usual one, and within so many
-# seconds of its claim: an engine's pace is known after half a second of its first step.
-# The move takes some 0.1 s and reads the prompt again. Estimates are off by half, and
-# later there is less to gain.
-MOVE_FACTOR = 3.0
-MOVE_WITHIN = 3.0
+# A unit is migrated if its estimate is more than this many times the usual one: the
+# migration takes some 0.1 s and processes the prompt again, and estimates are off by
+# half.
+MIN_ESTIMATE_FACTOR = 3.0
+# Seconds after its claim within which a unit is migrated: an engine's pace is known
+# after half a second of its first step, and later there is less to gain.
+MIGRATE_WITHIN = 3.0
 
 
 class UnitMigrator:
-    """Gives long items back that a faster engine would end sooner.
+    """Hands over units with long items that a faster engine would complete sooner.
 
     Parameters
     ----------
@@ -36,10 +38,10 @@
 
     Attributes
     ----------
-    slower : dict
-        Free places of the faster engines, by model.
-    moved : set of (str, str)
-        Job and unit of those that went, while their jobs are open.
+    faster_free_slots : dict
+        Free slots of the faster engines, by model.
+    migrated : set of (str, str)
+        Job and unit of the migrated units whose jobs are open.
     """
 
     def __init__(
@@ -59,18 +61,17 @@
         self.migrated: set[tuple[str, str]] = set()
 
     def migrate_long_units(self) -> None:
-        """Find the models that faster engines serve too; move long items of them."""
-        self.migrated = {
-            place for place in self.migrated if place[0] in self.board.open
-        }
-        self.faster_free_slots = self.slower_models()
-        for model, places in self.faster_free_slots.items():
-            self.move(model, places)
+        """Hand over units with long items of models that faster engines serve too."""
+        self.migrated = {unit for unit in self.migrated if unit[0] in self.board.open}
+        self.faster_free_slots = self.find_faster_slots()
+        for model, free_slots in self.faster_free_slots.items():
+            self.migrate_units(model, free_slots)
 
-    def slower_models(self) -> dict[str, int]:
-        """Return the models that faster engines serve too, with their free places.
+    def find_faster_slots(self) -> dict[str, int]:
+        """Return the models that faster engines serve too, with their free slots.
 
-        Also those of items that run here from before this engine changed its model.
+        Besides the models assigned to this engine, those of units are considered that
+        have run here since before the assignment changed.
         """
         usual = self.heart.usual_pace()
         found = {}
@@ -81,18 +82,18 @@
                 found[model] = sum(beat.places for beat in faster)
         return found
 
-    def move(self, model: str, places: int) -> None:
-        """Hand long items of a model over, as far as there are places for them."""
-        for unit in self.movable(model):
-            places -= unit.load
-            if places < 0:
+    def migrate_units(self, model: str, free_slots: int) -> None:
+        """Hand over units of a model as long as faster engines have slots for them."""
+        for unit in self.migratable_units(model):
+            free_slots -= unit.load
+            if free_slots < 0:
                 return
             self.migrated.add((unit.job.id, unit.key))
             self.runner.hand_over_unit(unit, "a faster engine has room")
 
-    def movable(self, model: str) -> list[UnitRun]:
-        """Return the units of a model that a faster engine would end sooner."""
-        since = self.clock.monotonic() - MOVE_WITHIN
+    def migratable_units(self, model: str) -> list[UnitRun]:
+        """Return the units of a model that a faster engine would complete sooner."""
+        since = self.clock.monotonic() - MIGRATE_WITHIN
         return [
             unit
             for unit in self.runner.units.values()
@@ -100,5 +101,5 @@
             and unit.claimed_at > since
             and "" not in unit.tasks
             and (unit.job.id, unit.key) not in self.migrated
-            and unit.key in long_units(unit.job, MOVE_FACTOR)
+            and unit.key in long_units(unit.job, MIN_ESTIMATE_FACTOR)
         ]
--- a/gypsumshift/jobs/unitrunner.py
+++ b/gypsumshift/jobs/unitrunner.py
@@ -1,4 +1,4 @@
-"""Unit runs: the claimed units of one agent, from claim to results or handover."""
+"""Runs the units that an agent has claimed until their results or their handover."""
 
 import asyncio
 import traceback
@@ -38,35 +38,35 @@
 
 __all__ = ["UnitRunner"]
 
-# Seconds after which a unit is given back that met an error of the program.
-BROKEN_PAUSE = 1.0
+# Seconds before a unit is given back after an unexpected exception in one of its tasks.
+FAILED_UNIT_PAUSE = 1.0
 
 log = logs.logger("units")
 
 
 class UnitRunner:
-    """Owns the claimed units, and the tasks that run their items.
+    """Holds the claimed units and the tasks that run their items.
 
     Parameters
     ----------
-    own : Claim
-        What the agent writes where it claims.
+    own_claim : Claim
+        Claim that the agent writes for each unit that it takes.
     store : RowStore
     station : Station
     weights : WeightManager
     board : ClaimBoard
     forwarder : Forwarder
-        For reward calls; its guard is asked for items, too.
+        Sends reward calls; its guard also admits items.
     names : HeaderNames
     clock : Clock
     metrics : Metrics
-    changed : callable
-        Called when there may be room for more.
+    on_capacity_change : callable
+        Called when the engine may have room for more items.
     """
 
     def __init__(
         self,
-        own: Claim,
+        own_claim: Claim,
         store: RowStore,
         station: Station,
         weights: WeightManager,
@@ -75,9 +75,9 @@
         names: HeaderNames,
         clock: Clock,
         metrics: Metrics,
-        changed: Callable[[], None],
+        on_capacity_change: Callable[[], None],
     ):
-        self.own = own
+        self.own_claim = own_claim
         self.store = store
         self.station = station
         self.weights = weights
@@ -86,57 +86,64 @@
         self.names = names
         self.clock = clock
         self.metrics = metrics
-        self.changed = changed
+        self.on_capacity_change = on_capacity_change
         self.pace = Pace(clock)
         self.committer = Committer(store, clock)
-        self.partials = Partials(store, own.session, clock)
+        self.partials = Partials(store, own_claim.session, clock)
         self.units: dict[tuple[str, str], UnitRun] = {}
         self.item_runner = ItemRunner(
-            station, weights, forwarder.guard, store, clock, metrics, changed
+            station, weights, forwarder.guard, store, clock, metrics, on_capacity_change
         )
-        self.returns = Returns(store, board, self.partials, clock, changed)
+        self.returns = Returns(store, board, self.partials, clock, on_capacity_change)
 
     @property
     def load(self) -> int:
-        """Items that take a place of the engine, or are about to.
+        """Number of items that use a slot of the engine, or are about to.
 
-        Not those that wait for their scores: with them, places stood empty for half
-        as long as they were used (items of 0.5 s, scores after 0.25 to 0.5 s).
+        Items that wait for their scores are not counted: when they were, slots stood
+        empty for half as long as they were used (items of 0.5 s, scores after 0.25 to
+        0.5 s).
         """
         return sum(unit.load for unit in self.units.values())
 
     @property
     def sizes(self) -> tuple[int, ...]:
-        """Tokens of the engine's memory that each of these is estimated to take."""
+        """Estimated memory of each item that counts as load, in tokens."""
         return tuple(size for unit in self.units.values() for size in unit.sizes)
 
     @property
     def scoring_count(self) -> int:
-        """Items that were generated and wait for their scores."""
+        """Number of items that were generated and wait for their scores."""
         runs = (run for unit in self.units.values() for run in unit.runs.values())
         return sum(run.generated and not run.held_back for run in runs)
 
     def drop_ended_jobs(self) -> None:
-        """Stop the units whose jobs have ended."""
+        """Stop running the units whose jobs have ended."""
         for unit in list(self.units.values()):
             if unit.job.id in self.board.ended:
-                self.drop(unit)
+                self.drop_unit(unit)
 
     def drop_if_taken_over(self, row: Row) -> None:
-        """Let go of a unit that another agent holds by the store."""
+        """Stop running a unit if its row says that another agent has claimed it."""
         unit = self.units.get((row.part, row.key))
         if unit is None or row.value is None or row.version <= unit.version:
             return
         claim = parse_row(row, Claim)
-        if claim is not None and claim.session != self.own.session:
-            logs.event(log, "Another agent runs a unit.", job=row.part, unit=row.key)
-            self.drop(unit)
+        if claim is not None and claim.session != self.own_claim.session:
+            logs.event(
+                log,
+                "Stopped running a unit that another agent has claimed.",
+                job=row.part,
+                unit=row.key,
+            )
+            self.drop_unit(unit)
 
     def start_unit(self, candidate: Candidate, version: int) -> None:
-        """Run a claimed unit."""
+        """Start a task that runs a claimed unit."""
         job, summary = candidate.job, candidate.unit
         if job.id in self.board.ended or (job.id, summary.key) in self.units:
-            # The job ended while the claim was on its way, or its answer was late.
+            # The job ended while the claim was being written, or the store's answer
+            # came late.
             return
         unit = UnitRun(job, summary, version, self.clock.monotonic())
         self.units[job.id, summary.key] = unit
@@ -151,36 +158,37 @@
             weights=self.station.versions.get(job.model, 0),
         )
         self.metrics.count("claims", taken_over=str(candidate.taken_over).lower())
-        loading = self.load_unit(unit, candidate.taken_over)
-        task = asyncio.create_task(loading)
-        task.add_done_callback(lambda ended: self.check(unit, ended))
+        work = self.load_unit(unit, candidate.taken_over)
+        task = asyncio.create_task(work)
+        task.add_done_callback(lambda ended: self.check_task(unit, ended))
         unit.tasks[""] = task
 
     async def load_unit(self, unit: UnitRun, taken_over: bool) -> None:
-        """Read the items of a unit, and run those without a result."""
+        """Read the items of a unit and start those without a result."""
         row = await self.read_unit(unit)
         items = from_row(row.value, Unit).items
-        known: set[str] = set()
+        done: set[str] = set()
         partials: dict[str, Partial | None] = {}
         if taken_over:
-            # First what this agent has itself: it may be stored before the rows come.
-            known = self.committer.items(unit.job.id)
+            # The committer's results are read before the rows: in the other order, a
+            # result that is stored in between would be found in neither.
+            done = self.committer.items(unit.job.id)
             rows = await read_rows(self.store, self.clock, RESULTS, unit.job.id)
-            known |= {row.key for row in rows}
+            done |= {row.key for row in rows}
             for item in items:
                 partials[item.id] = await self.partials.read(unit.job.id, item.id)
-        due = [item for item in items if item.id not in known]
+        due = [item for item in items if item.id not in done]
         for item in due:
             self.start_item(unit, item, partials.get(item.id))
         if not due:
-            # The claim that says that a unit is done stands behind its results.
+            # A unit may be marked done only after its results are stored.
             await self.committer.wait_for(unit.job.id, unit.summary.items)
         del unit.tasks[""]
         if not unit.tasks:
-            await self.close_unit(unit)
+            await self.mark_done(unit)
 
     async def read_unit(self, unit: UnitRun) -> Row:
-        """Read the row of a unit, however long that takes."""
+        """Read the row of a unit, retrying until the store returns it."""
         while True:
             row = await self.store.read(UNITS, unit.key, unit.job.id)
             if isinstance(row, Row):
@@ -188,7 +196,7 @@
             await self.clock.sleep(RETRY_PAUSE)
 
     def start_item(self, unit: UnitRun, item: Item, partial: Partial | None) -> None:
-        """Run one item in a task of its own."""
+        """Start a task that runs one item, from its saved output if there is any."""
         run = ItemRun(
             unit.job,
             item,
@@ -203,29 +211,34 @@
             run.resume(partial)
         unit.runs[item.id] = run
         task = asyncio.create_task(self.run_item(unit, run))
-        task.add_done_callback(lambda ended: self.check(unit, ended))
+        task.add_done_callback(lambda ended: self.check_task(unit, ended))
         unit.tasks[item.id] = task
 
-    def check(self, unit: UnitRun, task: asyncio.Task) -> None:
-        """Give a unit back whose task ended with an error of the program.
+    def check_task(self, unit: UnitRun, task: asyncio.Task) -> None:
+        """Give a unit back if its task ended with an unexpected exception.
 
-        Held on to, it would never be done while this agent's heartbeats are heard.
+        Otherwise the unit would never be done while this agent sends heartbeats.
         """
         if task.cancelled() or task.exception() is None:
             return
         error = "".join(traceback.format_exception(task.exception()))
-        log.error("A unit fails here: {} of {}: {}", unit.key, unit.job.id, error)
+        log.error(
+            "A task of unit {} of job {} failed; the unit is given back: {}",
+            unit.key,
+            unit.job.id,
+            error,
+        )
         self.metrics.count("broken_units")
         if self.units.get((unit.job.id, unit.key)) is unit:
-            self.drop(unit)
-            # After a pause, so that it does not come at once again.
-            self.returns.begin(unit, BROKEN_PAUSE)
+            self.drop_unit(unit)
+            # After a pause, so that this agent does not claim it again at once.
+            self.returns.begin(unit, FAILED_UNIT_PAUSE)
 
     async def run_item(self, unit: UnitRun, run: ItemRun) -> None:
         """Generate, score and store one item."""
-        claimed = self.clock.monotonic()
+        claimed_at = self.clock.monotonic()
         result = await self.item_runner.generate(run)
-        generated = self.clock.monotonic()
+        generated_at = self.clock.monotonic()
         if result is None:
             result = await self.item_runner.score(run)
         now = self.clock.monotonic()
@@ -238,50 +251,50 @@
             estimate=run.item.hint,
             events=len(run.events),
             versions=run.versions,
-            waited_s=round((run.began_at or generated) - claimed, 3),
-            generated_s=round(generated - (run.began_at or generated), 3),
+            waited_s=round((run.first_event_at or generated_at) - claimed_at, 3),
+            generated_s=round(generated_at - (run.first_event_at or generated_at), 3),
             longest_gap_s=round(run.longest_gap, 3),
-            scored_s=round(now - generated, 3),
+            scored_s=round(now - generated_at, 3),
         )
         self.store_result(unit, run, result)
 
     def store_result(self, unit: UnitRun, run: ItemRun, result: Result) -> None:
-        """Hand a result to the committer."""
+        """Queue a result for storage, with the claim of a unit that it completes."""
         self.metrics.count("items", state=result.state.value)
         unit.tasks.pop(run.item.id, None)
         unit.runs.pop(run.item.id, None)
-        last = None if unit.tasks else self.finish(unit)
+        last = None if unit.tasks else self.finish_unit(unit)
         partial = self.partials.key(run) if run.saved_events else ""
         self.committer.put(Finished(unit.job.id, unit.key, result, last, partial))
-        self.changed()
+        self.on_capacity_change()
 
-    def finish(self, unit: UnitRun) -> Claim:
-        """Let go of a unit that is done; return its claim, which is to be stored."""
-        done = attrs.evolve(self.own, done=True)
+    def finish_unit(self, unit: UnitRun) -> Claim:
+        """Remove a unit that is done; return its final claim, which is to be stored."""
+        done = attrs.evolve(self.own_claim, done=True)
         self.units.pop((unit.job.id, unit.key), None)
-        # Known here before the store tells it.
+        # The board knows the claim before the store's changes arrive.
         row = Row(CLAIMS, unit.key, unit.version, to_row(done), unit.job.id)
         self.board.take_claims([row])
         return done
 
-    async def close_unit(self, unit: UnitRun) -> None:
-        """Mark a unit done that had all its results before."""
-        done = to_row(self.finish(unit))
+    async def mark_done(self, unit: UnitRun) -> None:
+        """Store that a unit is done, where no item was left to run."""
+        done = to_row(self.finish_unit(unit))
         await self.store.commit([Write(CLAIMS, unit.key, done, part=unit.job.id)])
 
-    def drop(self, unit: UnitRun) -> None:
-        """Stop running a unit."""
+    def drop_unit(self, unit: UnitRun) -> None:
+        """Remove a unit and cancel its tasks."""
         self.units.pop((unit.job.id, unit.key), None)
         for task in unit.tasks.values():
             task.cancel()
 
     def hand_over_all(self, reason: str) -> list[asyncio.Task]:
-        """Give all units back, with what was generated of them."""
+        """Give all units back, each with the output generated so far."""
         return [self.hand_over_unit(unit, reason) for unit in list(self.units.values())]
 
     def hand_over_unit(self, unit: UnitRun, reason: str) -> asyncio.Task:
-        """Give a unit back, with what was generated of it."""
-        self.drop(unit)
+        """Give a unit back with the output generated so far."""
+        self.drop_unit(unit)
         logs.event(
             log,
             "Gave a unit back.",
@@ -293,16 +306,16 @@
         return self.returns.begin(unit)
 
     async def save_partials(self) -> None:
-        """Save what long runs have generated."""
+        """Save the output of long runs, so that another agent can resume them."""
         runs: dict[str, list[ItemRun]] = {}
         for unit in self.units.values():
             runs.setdefault(unit.job.id, []).extend(unit.runs.values())
-        for job, own in runs.items():
-            await self.partials.save(job, own)
+        for job, job_runs in runs.items():
+            await self.partials.save(job, job_runs)
 
     async def drain(self) -> None:
-        """Give all units back, and wait until results are stored."""
-        given = self.hand_over_all("this process stops")
-        if given:
-            await asyncio.wait(given)
+        """Give all units back and wait until results are stored."""
+        handovers = self.hand_over_all("this process is stopping")
+        if handovers:
+            await asyncio.wait(handovers)
         await self.committer.drain()
