--- a/gypsumshift/jobs/itemrun.py
+++ b/gypsumshift/jobs/itemrun.py
@@ -234,7 +234,7 @@
         # processing of the prompt, so it is no gap between events.
         if self.last_event_at:
             gap = now - self.last_event_at
-            self.pace.note(gap)
+            self.pace.record_gap(gap)
             self.longest_gap = max(self.longest_gap, gap)
         self.last_event_at = now
         self.first_event_at = self.first_event_at or now
--- a/gypsumshift/jobs/itemrunner.py
+++ b/gypsumshift/jobs/itemrunner.py
@@ -10,9 +10,9 @@
 from gypsumshift.clock import Clock
 from gypsumshift.eventstream import StreamBroken
 from gypsumshift.jobs.itemrun import RETRY_PAUSE, ItemRun
+from gypsumshift.jobs.localengine import LocalEngine
 from gypsumshift.jobs.model import Result
 from gypsumshift.jobs.rewardlimiter import RewardLimiter
-from gypsumshift.jobs.station import Station
 from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import HeldBack
@@ -36,7 +36,7 @@
 
     Parameters
     ----------
-    station : Station
+    local_engine : LocalEngine
     weights : WeightManager
     guard : Guard
     store : RowStore
@@ -56,7 +56,7 @@
 
     def __init__(
         self,
-        station: Station,
+        local_engine: LocalEngine,
         weights: WeightManager,
         guard: Guard,
         store: RowStore,
@@ -64,14 +64,14 @@
         metrics: Metrics,
         on_capacity_change: Callable[[], None],
     ):
-        self.station = station
+        self.local_engine = local_engine
         self.weights = weights
         self.guard = guard
         self.store = store
         self.clock = clock
         self.metrics = metrics
         self.on_capacity_change = on_capacity_change
-        self.reward_limiter = RewardLimiter(clock, station.directory)
+        self.reward_limiter = RewardLimiter(clock, local_engine.directory)
         self.slots = asyncio.Semaphore(1)
         self.slot_count = 1
         self.running_fingerprints: list[str] = []
@@ -116,7 +116,7 @@
 
         Returns None also where it is to be tried again.
         """
-        server = self.station.server
+        server = self.local_engine.server
         if server is None or self.weights.loading_model == run.job.model:
             return None
         if self.guard.quarantine.keeps_apart(
@@ -175,12 +175,15 @@
 
         The item is tried again.
         """
-        directory, fetcher = self.station.directory, self.station.engine.fetcher
+        directory, fetcher = (
+            self.local_engine.directory,
+            self.local_engine.engine.fetcher,
+        )
         ended = error.closed and await is_gone(directory, fetcher, server)
         if ended:
             self.guard.note_end(permit, server.start)
         if error.replaced:
-            self.station.replaced.add(server.start)
+            self.local_engine.replaced_starts.add(server.start)
         self.metrics.count("broken_streams")
         logs.event(
             log,
--- a/gypsumshift/jobs/unitmigrator.py
+++ b/gypsumshift/jobs/unitmigrator.py
@@ -7,8 +7,8 @@
 """
 
 from gypsumshift.clock import Clock
-from gypsumshift.jobs.claims import ClaimBoard
-from gypsumshift.jobs.heart import Heart
+from gypsumshift.jobs.claimtracker import ClaimTracker
+from gypsumshift.jobs.heartbeatwriter import HeartbeatWriter
 from gypsumshift.jobs.schedule import long_units
 from gypsumshift.jobs.unit import UnitRun
 from gypsumshift.jobs.unitrunner import UnitRunner
@@ -30,9 +30,9 @@
 
     Parameters
     ----------
-    heart : Heart
+    heartbeat_writer : HeartbeatWriter
     weights : WeightManager
-    board : ClaimBoard
+    tracker : ClaimTracker
     runner : UnitRunner
     clock : Clock
 
@@ -46,15 +46,15 @@
 
     def __init__(
         self,
-        heart: Heart,
+        heartbeat_writer: HeartbeatWriter,
         weights: WeightManager,
-        board: ClaimBoard,
+        tracker: ClaimTracker,
         runner: UnitRunner,
         clock: Clock,
     ):
-        self.heart = heart
+        self.heartbeat_writer = heartbeat_writer
         self.weights = weights
-        self.board = board
+        self.tracker = tracker
         self.runner = runner
         self.clock = clock
         self.faster_free_slots: dict[str, int] = {}
@@ -62,7 +62,9 @@
 
     def migrate_long_units(self) -> None:
         """Hand over units with long items of models that faster engines serve too."""
-        self.migrated = {unit for unit in self.migrated if unit[0] in self.board.open}
+        self.migrated = {
+            unit for unit in self.migrated if unit[0] in self.tracker.open_jobs
+        }
         self.faster_free_slots = self.find_faster_slots()
         for model, free_slots in self.faster_free_slots.items():
             self.migrate_units(model, free_slots)
@@ -73,11 +75,13 @@
         Besides the models assigned to this engine, those of units are considered that
         have run here since before the assignment changed.
         """
-        usual = self.heart.usual_pace()
+        usual = self.heartbeat_writer.usual_pace()
         found = {}
         running = {unit.job.model for unit in self.runner.units.values()}
         for model in sorted(running | set(self.weights.assigned_models())):
-            faster = self.board.peers.faster(usual, self.weights.engines_serving(model))
+            faster = self.tracker.peers.faster_engines(
+                usual, self.weights.engines_serving(model)
+            )
             if faster:
                 found[model] = sum(beat.places for beat in faster)
         return found
--- a/gypsumshift/jobs/unitrunner.py
+++ b/gypsumshift/jobs/unitrunner.py
@@ -8,10 +8,11 @@
 
 from gypsumshift import logs
 from gypsumshift.clock import Clock
-from gypsumshift.jobs.claims import Candidate, ClaimBoard
+from gypsumshift.jobs.claimtracker import Candidate, ClaimTracker
 from gypsumshift.jobs.committer import Committer, Finished
 from gypsumshift.jobs.itemrun import RETRY_PAUSE, ItemRun
 from gypsumshift.jobs.itemrunner import ItemRunner
+from gypsumshift.jobs.localengine import LocalEngine
 from gypsumshift.jobs.model import (
     CLAIMS,
     RESULTS,
@@ -28,7 +29,6 @@
 from gypsumshift.jobs.pace import Pace
 from gypsumshift.jobs.partials import Partials, read_rows
 from gypsumshift.jobs.returns import Returns
-from gypsumshift.jobs.station import Station
 from gypsumshift.jobs.unit import UnitRun
 from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.metrics import Metrics
@@ -52,9 +52,9 @@
     own_claim : Claim
         Claim that the agent writes for each unit that it takes.
     store : RowStore
-    station : Station
+    local_engine : LocalEngine
     weights : WeightManager
-    board : ClaimBoard
+    tracker : ClaimTracker
     forwarder : Forwarder
         Sends reward calls; its guard also admits items.
     names : HeaderNames
@@ -68,9 +68,9 @@
         self,
         own_claim: Claim,
         store: RowStore,
-        station: Station,
+        local_engine: LocalEngine,
         weights: WeightManager,
-        board: ClaimBoard,
+        tracker: ClaimTracker,
         forwarder: Forwarder,
         names: HeaderNames,
         clock: Clock,
@@ -79,9 +79,9 @@
     ):
         self.own_claim = own_claim
         self.store = store
-        self.station = station
+        self.local_engine = local_engine
         self.weights = weights
-        self.board = board
+        self.tracker = tracker
         self.forwarder = forwarder
         self.names = names
         self.clock = clock
@@ -92,9 +92,15 @@
         self.partials = Partials(store, own_claim.session, clock)
         self.units: dict[tuple[str, str], UnitRun] = {}
         self.item_runner = ItemRunner(
-            station, weights, forwarder.guard, store, clock, metrics, on_capacity_change
+            local_engine,
+            weights,
+            forwarder.guard,
+            store,
+            clock,
+            metrics,
+            on_capacity_change,
         )
-        self.returns = Returns(store, board, self.partials, clock, on_capacity_change)
+        self.returns = Returns(store, tracker, self.partials, clock, on_capacity_change)
 
     @property
     def load(self) -> int:
@@ -120,7 +126,7 @@
     def drop_ended_jobs(self) -> None:
         """Stop running the units whose jobs have ended."""
         for unit in list(self.units.values()):
-            if unit.job.id in self.board.ended:
+            if unit.job.id in self.tracker.ended_jobs:
                 self.drop_unit(unit)
 
     def drop_if_taken_over(self, row: Row) -> None:
@@ -141,7 +147,7 @@
     def start_unit(self, candidate: Candidate, version: int) -> None:
         """Start a task that runs a claimed unit."""
         job, summary = candidate.job, candidate.unit
-        if job.id in self.board.ended or (job.id, summary.key) in self.units:
+        if job.id in self.tracker.ended_jobs or (job.id, summary.key) in self.units:
             # The job ended while the claim was being written, or the store's answer
             # came late.
             return
@@ -155,7 +161,7 @@
             items=list(summary.items),
             taken_over=candidate.taken_over,
             claim_version=version,
-            weights=self.station.versions.get(job.model, 0),
+            weights=self.local_engine.versions.get(job.model, 0),
         )
         self.metrics.count("claims", taken_over=str(candidate.taken_over).lower())
         work = self.load_unit(unit, candidate.taken_over)
@@ -200,9 +206,9 @@
         run = ItemRun(
             unit.job,
             item,
-            self.station.engine,
+            self.local_engine.engine,
             self.forwarder,
-            self.station.directory,
+            self.local_engine.directory,
             self.names,
             self.clock,
             self.pace,
@@ -272,9 +278,9 @@
         """Remove a unit that is done; return its final claim, which is to be stored."""
         done = attrs.evolve(self.own_claim, done=True)
         self.units.pop((unit.job.id, unit.key), None)
-        # The board knows the claim before the store's changes arrive.
+        # The tracker knows the claim before the store's changes arrive.
         row = Row(CLAIMS, unit.key, unit.version, to_row(done), unit.job.id)
-        self.board.take_claims([row])
+        self.tracker.apply_claim_rows([row])
         return done
 
     async def mark_done(self, unit: UnitRun) -> None:
