--- a/tests/test_fatal_items.py
+++ b/tests/test_fatal_items.py
@@ -1,8 +1,9 @@
-"""Items and reward calls under which servers end are held back, and hold nobody up.
+"""Items and reward calls that crash servers are held back and do not delay others.
 
-The other homes of what `test_fatal_requests.py` tells. An item under which its engine
-ends is handed over to the next agent, whose engine ends as well; a reward call is made
-again each 0.1 s until it is answered, and its agent's other items wait behind it.
+`test_fatal_requests.py` tests the same failure with callers' requests. An item that
+crashes its engine is handed over to the next agent, whose engine crashes as well. A
+reward call is repeated every 0.1 s until it is answered, and its agent's other items
+wait behind it.
 """
 
 import asyncio
@@ -24,13 +25,13 @@
 from tests import jobs_world as jw
 from tests import own_time
 
-# Seconds until an item ends its engine, and until the engine is back.
-FATAL_AFTER, BACK_AFTER = 0.1, 3.5
-POISON = "job-0-0"
+# Seconds until a fatal item crashes its engine, and until the engine is back.
+CRASH_AFTER, RESTART_AFTER = 0.1, 3.5
+FATAL_ITEM = "job-0-0"
 
 
-class FragileEngine(jw.FakeEngine):
-    """Engine that ends under some items, with all that it runs, and comes back."""
+class CrashingEngine(jw.FakeEngine):
+    """Engine that crashes under some items, with all that it runs, and restarts."""
 
     def __init__(self, world, name):
         super().__init__()
@@ -39,7 +40,7 @@
         self.fetcher = self
         self.gap = 0.05
         self.up = True
-        self.ended = asyncio.Event()
+        self.crashed = asyncio.Event()
 
     async def refuses(self, address, timeout):
         return not self.up
@@ -51,78 +52,78 @@
         if not self.up:
             raise StreamBroken("nobody listens", sent=False, refused=True)
         self.started.append((item.id, after))
-        ended = self.ended
+        crashed = self.crashed
         fatal = item.id in self.world.fatal
         if fatal:
-            self.world.begin(self.end_later(item.id))
+            self.world.start_task(self.crash_later(item.id))
         for number in range(after + 1, 100 if fatal else self.length + 1):
             try:
                 async with asyncio.timeout(self.gap):
-                    await ended.wait()
+                    await crashed.wait()
             except TimeoutError:
                 yield Event(number, f"{item.id}:{number}", self.version)
                 continue
             raise StreamBroken("cut", closed=True)
 
-    async def end_later(self, item):
-        await asyncio.sleep(FATAL_AFTER)
+    async def crash_later(self, item):
+        await asyncio.sleep(CRASH_AFTER)
         if self.up:
-            self.world.ended.append((asyncio.get_running_loop().time(), item))
-            await self.end()
+            self.world.crashes.append((asyncio.get_running_loop().time(), item))
+            await self.crash()
 
-    async def end(self):
-        """End, and come back as a new start."""
+    async def crash(self):
+        """Crash, and come back as a new start of the server."""
         self.up = False
-        self.ended.set()
-        await asyncio.sleep(BACK_AFTER)
-        self.up, self.ended = True, asyncio.Event()
+        self.crashed.set()
+        await asyncio.sleep(RESTART_AFTER)
+        self.up, self.crashed = True, asyncio.Event()
         directory = self.world.agents[self.name].local_engine.directory
         old = directory.servers[f"e-{self.name}"]
         directory.set_server(attrs.evolve(old, born=old.born + 1))
 
 
 class Tables(MemoryTables):
-    """Tables whose time is the loop's own, from the start of a test."""
+    """Tables whose time is the event loop's, counted from the start of a test."""
 
     def now(self):
         seconds = asyncio.get_running_loop().time() - own_time.OwnTime.seconds
         return datetime.timedelta(seconds=seconds)
 
 
-class FragileWorld(jw.World):
-    """Agents beside engines that end, which tell each other of it."""
+class CrashingWorld(jw.World):
+    """Agents with engines that crash, which share the crashes through the store."""
 
     def __init__(self, names="abcde", forwarder=jw.FakeForwarder, retention=None):
         super().__init__(store=Tables())
         self.clock = own_time.LoopClock()
         self.desk.clock = self.clock
         self.fatal = set()
-        self.ended = []
+        self.crashes = []
         self.engines = {}
         for name in names:
             self.add(name, forwarder(), retention)
 
     def add(self, name, forwarder, retention):
-        engine = self.engines[name] = FragileEngine(self, name)
+        engine = self.engines[name] = CrashingEngine(self, name)
         chance = random.Random(name)
         guard = forwarder.guard = Guard(self.store, self.clock, chance, jw.METRICS)
         agent = self.agent(name, engine, forwarder=forwarder, clock=self.clock)
         table = jw.routes(version=2, retention=retention)
         agent.local_engine.directory.set_routes(table)
-        self.begin(run_all([guard.table.watch]))
-        self.begin(guard.run())
+        self.start_task(run_all([guard.table.watch]))
+        self.start_task(guard.run())
 
-    def begin(self, work):
+    def start_task(self, work):
         self.tasks.append(asyncio.create_task(work))
 
     async def listed(self, job="job"):
-        """Return the results that are listed."""
+        """Return the results that are available for a job."""
         return (await self.desk.read(job, 0, 0)).results
 
 
 def play(scenario, **options):
     async def run():
-        world = FragileWorld(**options)
+        world = CrashingWorld(**options)
         world.follow()
         try:
             await asyncio.sleep(0.5)
@@ -133,43 +134,44 @@
     own_time.play(run)
 
 
-def test_an_item_under_which_engines_end_is_held_back_and_the_others_are_done():
+def test_item_that_crashes_engines_is_held_back_and_the_others_are_done():
     async def scenario(world):
-        world.fatal = {POISON}
+        world.fatal = {FATAL_ITEM}
         await world.submit(groups=6, size=4)
         await asyncio.sleep(20)
         done = {result.item for result in await world.listed()}
-        assert len(done) == 23 and POISON not in done
-        third = world.ended[MOST_ENDS - 1][0]
+        assert len(done) == 23 and FATAL_ITEM not in done
+        third_crash_at = world.crashes[MOST_ENDS - 1][0]
         await asyncio.sleep(60)
-        assert len(world.ended) <= MOST_ENDS + len(TRIAL_PAUSES)
-        late = [at for at, _ in world.ended if at > third + 3.0]
-        assert len(late) <= MOST_ENDS
+        assert len(world.crashes) <= MOST_ENDS + len(TRIAL_PAUSES)
+        late_crashes = [at for at, _ in world.crashes if at > third_crash_at + 3.0]
+        assert len(late_crashes) <= MOST_ENDS
 
     play(scenario)
 
 
-def test_items_that_run_beside_it_are_done_and_not_held_back_with_it():
-    """An item of the same unit was handed over with it, and lost each engine as well.
+def test_items_that_run_beside_a_fatal_item_are_done_and_not_held_back():
+    """Guards against holding back an item of the same unit as a fatal one.
 
-    It was held back, and both of its trials were made beside those of the other.
+    The item was handed over with the fatal one and lost each engine as well, so it was
+    held back. Both of its trials were then made beside those of the fatal item.
     """
 
     async def scenario(world):
         for engine in world.engines.values():
             engine.length = 30
-        world.fatal = {POISON}
+        world.fatal = {FATAL_ITEM}
         await world.submit(groups=8, size=8)
         await asyncio.sleep(20)
         done = {result.item for result in await world.listed()}
-        assert len(done) == 63 and POISON not in done
+        assert len(done) == 63 and FATAL_ITEM not in done
 
     play(scenario)
 
 
-def test_a_held_item_takes_no_place_of_an_engine():
+def test_item_that_is_held_back_takes_no_slot_of_an_engine():
     async def scenario(world):
-        world.fatal = {POISON}
+        world.fatal = {FATAL_ITEM}
         await world.submit(groups=1, size=1)
         await asyncio.sleep(40)
         assert all(agent.runner.load == 0 for agent in world.agents.values())
@@ -180,18 +182,18 @@
     play(scenario)
 
 
-def test_a_sound_item_whose_engines_were_lost_is_done_soon():
+def test_item_whose_engines_crashed_for_other_reasons_is_done_after_its_first_trial():
     async def scenario(world):
-        world.fatal = {POISON}
+        world.fatal = {FATAL_ITEM}
         await world.submit(groups=1, size=1)
-        while len(world.ended) < MOST_ENDS:
+        while len(world.crashes) < MOST_ENDS:
             await asyncio.sleep(0.1)
         world.fatal = set()
         await asyncio.sleep(TRIAL_PAUSES[0] + 2)
         (result,) = await world.listed()
         assert result.state is ResultState.WHOLE
-        # Its last engine made the rest only; the next one that makes all of it says
-        # that it is sound.
+        # Its last engine generated only the rest of the output. The item counts as
+        # harmless once an engine generates the whole output.
         assert [row for row in world.store.rows if row[0] == CRASHES]
         await asyncio.sleep(TRIAL_PAUSES[1])
         body = jw.items(groups=1, size=1, step="job")[0].body
@@ -203,22 +205,22 @@
     play(scenario)
 
 
-def test_a_held_item_is_given_up_once_its_time_is_over_and_no_sooner():
+def test_item_that_is_held_back_is_given_up_only_after_its_retention():
     async def scenario(world):
-        world.fatal = {POISON}
+        world.fatal = {FATAL_ITEM}
         await world.submit(groups=1, size=2)
         await asyncio.sleep(25)
         assert len(await world.listed()) == 1
         await asyncio.sleep(10)
         states = {result.item: result.state for result in await world.listed()}
-        assert states[POISON] is ResultState.GIVEN_UP
+        assert states[FATAL_ITEM] is ResultState.GIVEN_UP
 
     play(scenario, retention=datetime.timedelta(seconds=30))
 
 
-def test_a_held_item_of_a_job_that_ended_is_let_go():
+def test_item_that_is_held_back_is_dropped_when_its_job_ends():
     async def scenario(world):
-        world.fatal = {POISON}
+        world.fatal = {FATAL_ITEM}
         await world.submit(groups=1, size=1)
         await asyncio.sleep(20)
         await world.desk.end("job", world.clock.monotonic() + 5)
@@ -228,87 +230,90 @@
     play(scenario)
 
 
-class HoldsOne(jw.FakeForwarder):
-    """Forwarder that holds one reward call back, after it was sent three times."""
+class HoldBackForwarder(jw.FakeForwarder):
+    """Forwarder that holds one reward call back after it was sent three times."""
 
-    held = f"r-{POISON}"
+    held = f"r-{FATAL_ITEM}"
     sent = 0
 
     async def forward(self, call):
         if call.id != self.held:
             return await super().forward(call)
         self.calls.append(call)
-        HoldsOne.sent += 1
-        if HoldsOne.sent <= MOST_ENDS:
+        HoldBackForwarder.sent += 1
+        if HoldBackForwarder.sent <= MOST_ENDS:
             return Unknown("its server ended")
         return HeldBack(REASON, datetime.timedelta(seconds=5))
 
 
-def test_a_reward_call_that_is_held_back_holds_up_no_other():
+def test_reward_call_that_is_held_back_does_not_delay_others():
     async def scenario(world):
-        HoldsOne.sent = 0
+        HoldBackForwarder.sent = 0
         await world.submit(groups=2, size=4)
         await asyncio.sleep(10)
         done = {result.item for result in await world.listed()}
-        assert len(done) == 7 and POISON not in done
-        assert HoldsOne.sent <= MOST_ENDS + 10, "it asks about once a second"
+        assert len(done) == 7 and FATAL_ITEM not in done
+        assert HoldBackForwarder.sent <= MOST_ENDS + 10, "retried about once a second"
         (agent,) = world.agents.values()
         assert agent.runner.scoring_count == 0
 
-    play(scenario, names="a", forwarder=HoldsOne)
+    play(scenario, names="a", forwarder=HoldBackForwarder)
 
 
-def test_an_item_whose_reward_call_is_held_back_is_given_up_in_the_end():
+def test_item_whose_reward_call_is_held_back_is_given_up_after_its_retention():
     async def scenario(world):
-        HoldsOne.sent = 0
+        HoldBackForwarder.sent = 0
         await world.submit(groups=1, size=2)
         await asyncio.sleep(35)
         states = {result.item: result.state for result in await world.listed()}
         assert states == {
-            POISON: ResultState.GIVEN_UP,
+            FATAL_ITEM: ResultState.GIVEN_UP,
             "job-0-1": ResultState.WHOLE,
         }
 
     seconds = datetime.timedelta(seconds=30)
-    play(scenario, names="a", forwarder=HoldsOne, retention=seconds)
+    play(scenario, names="a", forwarder=HoldBackForwarder, retention=seconds)
 
 
-def test_a_reward_call_that_is_let_through_again_scores_its_item():
-    class LetsThrough(HoldsOne):
+def test_reward_call_that_is_admitted_again_scores_its_item():
+    class AdmittingForwarder(HoldBackForwarder):
         async def forward(self, call):
             answer = await super().forward(call)
-            late = isinstance(answer, HeldBack) and HoldsOne.sent > MOST_ENDS + 2
+            admitted = (
+                isinstance(answer, HeldBack) and HoldBackForwarder.sent > MOST_ENDS + 2
+            )
             score = ((jw.NAMES.signature, f"signed-{call.id}"),)
-            return Answered(200, score) if late else answer
+            return Answered(200, score) if admitted else answer
 
     async def scenario(world):
-        HoldsOne.sent = 0
+        HoldBackForwarder.sent = 0
         await world.submit(groups=1, size=1)
         await asyncio.sleep(10)
         (result,) = await world.listed()
-        assert result.score == f"signed-r-{POISON}"
+        assert result.score == f"signed-r-{FATAL_ITEM}"
 
-    play(scenario, names="a", forwarder=LetsThrough)
+    play(scenario, names="a", forwarder=AdmittingForwarder)
 
 
-def ends_under(world, job, item_id):
-    """Return how many engines ended under an item, as its agents know."""
+def crashes_under(world, job, item_id):
+    """Return the largest number of crashes under an item that an agent has counted."""
     item = next(i for i in jw.items(6, 4, step=job) if i.id == item_id)
     name = fingerprint("POST", jw.HOST, item.path, "", item.body)
     guards = (agent.runner.forwarder.guard for agent in world.agents.values())
     return max(guard.quarantine.ends(name) for guard in guards)
 
 
-async def late(world, job):
-    """Return the sound items of a job that are not done."""
-    sound = {item.id for item in jw.items(6, 4, step=job)} - world.fatal
-    return sound - {result.item for result in await world.listed(job)}
+async def unfinished_items(world, job):
+    """Return the items of a job that are not fatal and not done."""
+    harmless = {item.id for item in jw.items(6, 4, step=job)} - world.fatal
+    return harmless - {result.item for result in await world.listed(job)}
 
 
-# In the last two, a sound item's first trial is at an engine that is lost by itself.
+# With the last two seeds, the first trial of an item that is not fatal is at an engine
+# that crashes for another reason.
 @pytest.mark.parametrize("seed", [*range(6), 15, 18])
-def test_sound_items_are_done_whatever_engines_are_lost_beside_them(seed):
-    """Engines are lost by themselves, too, while an item of each job ends them."""
+def test_items_are_done_when_engines_crash_at_random_and_under_a_fatal_item(seed):
+    """One item of each job crashes engines, and engines crash at random as well."""
 
     async def scenario(world):
         chance = random.Random(seed)
@@ -322,19 +327,19 @@
             await asyncio.sleep(chance.uniform(0.1, 4.0))
             up = [engine for engine in world.engines.values() if engine.up]
             if up:
-                world.begin(chance.choice(up).end())
-        # Longer than the second trial of one that is held back for nothing is away,
-        # unless its first one met a lost engine as well.
+                world.start_task(chance.choice(up).crash())
+        # Longer than it takes until the second trial of an item that is held back
+        # without reason, unless its first trial met a crash as well.
         await asyncio.sleep(45)
         for job in jobs:
-            for item in await late(world, job):
-                assert ends_under(world, job, item) > MOST_ENDS, item
+            for item in await unfinished_items(world, job):
+                assert crashes_under(world, job, item) > MOST_ENDS, item
         await asyncio.sleep(ENDED_PAUSE)
         for job in jobs:
             done = {result.item for result in await world.listed(job)}
             assert len(done) == 23 and not done & world.fatal
         for item in world.fatal:
-            ended = [at for at, under in world.ended if under == item]
-            assert len(ended) <= MOST_ENDS + len(TRIAL_PAUSES) + 1
+            crash_times = [at for at, under in world.crashes if under == item]
+            assert len(crash_times) <= MOST_ENDS + len(TRIAL_PAUSES) + 1
 
     play(scenario)
