--- a/gypsumshift/jobs/itemrun.py
+++ b/gypsumshift/jobs/itemrun.py
@@ -9,9 +9,9 @@
 from gypsumshift.clock import Clock
 from gypsumshift.eventstream import StreamBroken
 from gypsumshift.jobs.engine import EngineClient, Event, StreamRefused
-from gypsumshift.jobs.model import Item, Job, Partial, Result, ResultState
 from gypsumshift.jobs.pace import Pace
-from gypsumshift.jobs.schedule import urgency
+from gypsumshift.jobs.records import Item, Job, Partial, Result, ResultState
+from gypsumshift.jobs.schedule import item_urgency
 from gypsumshift.outcomes import Answered, HeldBack
 from gypsumshift.serving.calls import Call
 from gypsumshift.serving.directory import BackendServer, Directory
@@ -113,7 +113,7 @@
         """Number of failed runs after which the item is given up."""
         return self.route.attempts if self.route else DEFAULT_ATTEMPTS
 
-    def expired(self, now: float) -> bool:
+    def is_expired(self, now: float) -> bool:
         """Return whether the job's retention is over at ``now``, by the store's clock.
 
         An item that is held back is given up then.
@@ -124,7 +124,7 @@
             and now >= self.job.submitted + retention.total_seconds()
         )
 
-    def resume(self, partial: Partial) -> None:
+    def resume_from(self, partial: Partial) -> None:
         """Continue from another agent's output if its weight versions are accepted."""
         if partial.versions and min(partial.versions) >= self.job.oldest_version:
             self.events = list(partial.events)
@@ -155,7 +155,7 @@
             The stream ended early; the events received so far are kept.
         """
         try:
-            rank = urgency(self.job, self.item)
+            rank = item_urgency(self.job, self.item)
             stream = self.engine.stream(
                 server, self.item, self.job, len(self.events), rank
             )
@@ -292,7 +292,7 @@
             suspect,
         )
 
-    async def finish(self) -> Result | HeldBack:
+    async def make_result(self) -> Result | HeldBack:
         """Score the complete output and return its result, or that it is held back."""
         signature = ""
         if self.item.reward is not None:
--- a/gypsumshift/jobs/itemrunner.py
+++ b/gypsumshift/jobs/itemrunner.py
@@ -11,7 +11,7 @@
 from gypsumshift.eventstream import StreamBroken
 from gypsumshift.jobs.itemrun import RETRY_PAUSE, ItemRun
 from gypsumshift.jobs.localengine import LocalEngine
-from gypsumshift.jobs.model import Result
+from gypsumshift.jobs.records import Result
 from gypsumshift.jobs.rewardlimiter import RewardLimiter
 from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.metrics import Metrics
@@ -88,7 +88,7 @@
         while True:
             self.reward_limiter.update_limit(run.item.reward)
             async with self.reward_limiter.enter(score_rank(run)):
-                outcome = await run.finish()
+                outcome = await run.make_result()
             if isinstance(outcome, HeldBack):
                 # Waits outside of the limiter: other items' reward calls go on.
                 outcome = await self.wait_held_back(run, outcome)
@@ -157,7 +157,7 @@
         It takes no slot meanwhile, and is given up only by its age: another release
         of the engine may not crash under it.
         """
-        if run.expired(self.store.now().total_seconds()):
+        if run.is_expired(self.store.now().total_seconds()):
             return run.give_up(held.reason)
         run.held_back = True
         self.on_capacity_change()
--- a/gypsumshift/jobs/placement.py
+++ b/gypsumshift/jobs/placement.py
@@ -1,4 +1,4 @@
-"""Placement: which models an engine serves, and when it loads new weights.
+"""Assignment of models to engines, and the choice of weight versions to load.
 
 Each agent decides for its own engine, from data that is the same for all agents: the
 listed engines, the newest steps, and the heartbeats, in which agents describe their
@@ -16,8 +16,8 @@
 
 import attrs
 
-from gypsumshift.jobs.model import Job
 from gypsumshift.jobs.pace import is_slower
+from gypsumshift.jobs.records import Job
 
 __all__ = [
     "AssignmentCache",
@@ -193,10 +193,10 @@
         if load(donor, 1) * REASSIGN_LOAD_RATIO >= load(busiest_model):
             break
         move_engine(donor, busiest_model)
-    busiest = max(map(load, counts))
+    highest_load = max(map(load, counts))
     while counts[shortest] < slow:
         donor = donor_for(shortest)
-        if load(donor, 1) > MAX_DONOR_LOAD_RATIO * busiest:
+        if load(donor, 1) > MAX_DONOR_LOAD_RATIO * highest_load:
             break
         move_engine(donor, shortest)
     return counts
--- a/gypsumshift/jobs/unitmigrator.py
+++ b/gypsumshift/jobs/unitmigrator.py
@@ -10,7 +10,7 @@
 from gypsumshift.jobs.claimtracker import ClaimTracker
 from gypsumshift.jobs.heartbeatwriter import HeartbeatWriter
 from gypsumshift.jobs.schedule import long_units
-from gypsumshift.jobs.unit import UnitRun
+from gypsumshift.jobs.unitrun import UnitRun
 from gypsumshift.jobs.unitrunner import UnitRunner
 from gypsumshift.jobs.weights import WeightManager
 
@@ -83,13 +83,13 @@
                 usual, self.weights.engines_serving(model)
             )
             if faster:
-                found[model] = sum(beat.places for beat in faster)
+                found[model] = sum(heartbeat.places for heartbeat in faster)
         return found
 
     def migrate_units(self, model: str, free_slots: int) -> None:
         """Hand over units of a model as long as faster engines have slots for them."""
         for unit in self.migratable_units(model):
-            free_slots -= unit.load
+            free_slots -= unit.slots_used
             if free_slots < 0:
                 return
             self.migrated.add((unit.job.id, unit.key))
--- a/gypsumshift/jobs/unitrunner.py
+++ b/gypsumshift/jobs/unitrunner.py
@@ -9,11 +9,12 @@
 from gypsumshift import logs
 from gypsumshift.clock import Clock
 from gypsumshift.jobs.claimtracker import Candidate, ClaimTracker
-from gypsumshift.jobs.committer import Committer, Finished
 from gypsumshift.jobs.itemrun import RETRY_PAUSE, ItemRun
 from gypsumshift.jobs.itemrunner import ItemRunner
 from gypsumshift.jobs.localengine import LocalEngine
-from gypsumshift.jobs.model import (
+from gypsumshift.jobs.pace import Pace
+from gypsumshift.jobs.partials import PartialStore, scan_until_answered
+from gypsumshift.jobs.records import (
     CLAIMS,
     RESULTS,
     UNITS,
@@ -26,10 +27,9 @@
     parse_row,
     to_row,
 )
-from gypsumshift.jobs.pace import Pace
-from gypsumshift.jobs.partials import Partials, read_rows
-from gypsumshift.jobs.returns import Returns
-from gypsumshift.jobs.unit import UnitRun
+from gypsumshift.jobs.resultwriter import PendingResult, ResultWriter
+from gypsumshift.jobs.unitreleaser import UnitReleaser
+from gypsumshift.jobs.unitrun import UnitRun
 from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.metrics import Metrics
 from gypsumshift.platforms import Row, RowStore, Write
@@ -88,8 +88,8 @@
         self.metrics = metrics
         self.on_capacity_change = on_capacity_change
         self.pace = Pace(clock)
-        self.committer = Committer(store, clock)
-        self.partials = Partials(store, own_claim.session, clock)
+        self.result_writer = ResultWriter(store, clock)
+        self.partials = PartialStore(store, own_claim.session, clock)
         self.units: dict[tuple[str, str], UnitRun] = {}
         self.item_runner = ItemRunner(
             local_engine,
@@ -100,7 +100,9 @@
             metrics,
             on_capacity_change,
         )
-        self.returns = Returns(store, tracker, self.partials, clock, on_capacity_change)
+        self.releaser = UnitReleaser(
+            store, tracker, self.partials, clock, on_capacity_change
+        )
 
     @property
     def load(self) -> int:
@@ -110,12 +112,14 @@
         empty for half as long as they were used (items of 0.5 s, scores after 0.25 to
         0.5 s).
         """
-        return sum(unit.load for unit in self.units.values())
+        return sum(unit.slots_used for unit in self.units.values())
 
     @property
     def sizes(self) -> tuple[int, ...]:
         """Estimated memory of each item that counts as load, in tokens."""
-        return tuple(size for unit in self.units.values() for size in unit.sizes)
+        return tuple(
+            size for unit in self.units.values() for size in unit.memory_estimates
+        )
 
     @property
     def scoring_count(self) -> int:
@@ -132,7 +136,7 @@
     def drop_if_taken_over(self, row: Row) -> None:
         """Stop running a unit if its row says that another agent has claimed it."""
         unit = self.units.get((row.part, row.key))
-        if unit is None or row.value is None or row.version <= unit.version:
+        if unit is None or row.value is None or row.version <= unit.claim_version:
             return
         claim = parse_row(row, Claim)
         if claim is not None and claim.session != self.own_claim.session:
@@ -176,19 +180,23 @@
         done: set[str] = set()
         partials: dict[str, Partial | None] = {}
         if taken_over:
-            # The committer's results are read before the rows: in the other order, a
-            # result that is stored in between would be found in neither.
-            done = self.committer.items(unit.job.id)
-            rows = await read_rows(self.store, self.clock, RESULTS, unit.job.id)
+            # Pending results are read before the rows: in the other order, a result
+            # that is stored in between would be found in neither.
+            done = self.result_writer.pending_items(unit.job.id)
+            rows = await scan_until_answered(
+                self.store, self.clock, RESULTS, unit.job.id
+            )
             done |= {row.key for row in rows}
             for item in items:
-                partials[item.id] = await self.partials.read(unit.job.id, item.id)
+                partials[item.id] = await self.partials.read_longest(
+                    unit.job.id, item.id
+                )
         due = [item for item in items if item.id not in done]
         for item in due:
             self.start_item(unit, item, partials.get(item.id))
         if not due:
             # A unit may be marked done only after its results are stored.
-            await self.committer.wait_for(unit.job.id, unit.summary.items)
+            await self.result_writer.wait_until_stored(unit.job.id, unit.summary.items)
         del unit.tasks[""]
         if not unit.tasks:
             await self.mark_done(unit)
@@ -214,7 +222,7 @@
             self.pace,
         )
         if partial is not None:
-            run.resume(partial)
+            run.resume_from(partial)
         unit.runs[item.id] = run
         task = asyncio.create_task(self.run_item(unit, run))
         task.add_done_callback(lambda ended: self.check_task(unit, ended))
@@ -238,7 +246,7 @@
         if self.units.get((unit.job.id, unit.key)) is unit:
             self.drop_unit(unit)
             # After a pause, so that this agent does not claim it again at once.
-            self.returns.begin(unit, FAILED_UNIT_PAUSE)
+            self.releaser.start_release(unit, FAILED_UNIT_PAUSE)
 
     async def run_item(self, unit: UnitRun, run: ItemRun) -> None:
         """Generate, score and store one item."""
@@ -270,16 +278,18 @@
         unit.tasks.pop(run.item.id, None)
         unit.runs.pop(run.item.id, None)
         last = None if unit.tasks else self.finish_unit(unit)
-        partial = self.partials.key(run) if run.saved_events else ""
-        self.committer.put(Finished(unit.job.id, unit.key, result, last, partial))
+        partial = self.partials.row_key(run) if run.saved_events else ""
+        self.result_writer.enqueue(
+            PendingResult(unit.job.id, unit.key, result, last, partial)
+        )
         self.on_capacity_change()
 
     def finish_unit(self, unit: UnitRun) -> Claim:
         """Remove a unit that is done; return its final claim, which is to be stored."""
         done = attrs.evolve(self.own_claim, done=True)
         self.units.pop((unit.job.id, unit.key), None)
-        # The tracker knows the claim before the store's changes arrive.
-        row = Row(CLAIMS, unit.key, unit.version, to_row(done), unit.job.id)
+        # The tracker has the claim before the store's changes report it.
+        row = Row(CLAIMS, unit.key, unit.claim_version, to_row(done), unit.job.id)
         self.tracker.apply_claim_rows([row])
         return done
 
@@ -309,7 +319,7 @@
             reason=reason,
             items=list(unit.runs),
         )
-        return self.returns.begin(unit)
+        return self.releaser.start_release(unit)
 
     async def save_partials(self) -> None:
         """Save the output of long runs, so that another agent can resume them."""
@@ -317,11 +327,11 @@
         for unit in self.units.values():
             runs.setdefault(unit.job.id, []).extend(unit.runs.values())
         for job, job_runs in runs.items():
-            await self.partials.save(job, job_runs)
+            await self.partials.save_runs(job, job_runs)
 
     async def drain(self) -> None:
         """Give all units back and wait until results are stored."""
         handovers = self.hand_over_all("this process is stopping")
         if handovers:
             await asyncio.wait(handovers)
-        await self.committer.drain()
+        await self.result_writer.drain()
--- a/gypsumshift/jobs/weights.py
+++ b/gypsumshift/jobs/weights.py
@@ -8,7 +8,7 @@
 from gypsumshift.jobs.claimtracker import ClaimTracker
 from gypsumshift.jobs.engine import EngineReport, WeightLoadOrder
 from gypsumshift.jobs.localengine import LocalEngine
-from gypsumshift.jobs.model import Job
+from gypsumshift.jobs.records import Job
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import Answered
 from gypsumshift.policy import DEFAULT, Policy
@@ -53,7 +53,8 @@
     newest_seen_at : dict
         Newest version and the time at which this process first saw it, by model.
     max_lags : dict
-        Number of versions behind the newest one that the last step accepted, by model.
+        Number of versions behind the newest one that the newest step accepted, by
+        model.
     newest_jobs : dict
         `Job` of the newest step, by model.
     """
--- a/tests/test_fatal_items.py
+++ b/tests/test_fatal_items.py
@@ -22,7 +22,7 @@
 from gypsumshift.serving.quarantine import ENDED_PAUSE, MOST_ENDS, TRIAL_PAUSES
 from gypsumshift.serving.trialclaims import CRASHES
 from gypsumshift.watch import run_all
-from tests import jobs_world as jw
+from tests import job_builders as jw
 from tests import own_time
 
 # Seconds until a fatal item crashes its engine, and until the engine is back.
@@ -90,13 +90,13 @@
         return datetime.timedelta(seconds=seconds)
 
 
-class CrashingWorld(jw.World):
+class CrashingWorld(jw.JobCluster):
     """Agents with engines that crash, which share the crashes through the store."""
 
     def __init__(self, names="abcde", forwarder=jw.FakeForwarder, retention=None):
         super().__init__(store=Tables())
         self.clock = own_time.LoopClock()
-        self.desk.clock = self.clock
+        self.job_manager.clock = self.clock
         self.fatal = set()
         self.crashes = []
         self.engines = {}
@@ -118,7 +118,7 @@
 
     async def listed(self, job="job"):
         """Return the results that are available for a job."""
-        return (await self.desk.read(job, 0, 0)).results
+        return (await self.job_manager.read_results(job, 0, 0)).results
 
 
 def play(scenario, **options):
@@ -223,7 +223,7 @@
         world.fatal = {FATAL_ITEM}
         await world.submit(groups=1, size=1)
         await asyncio.sleep(20)
-        await world.desk.end("job", world.clock.monotonic() + 5)
+        await world.job_manager.end_job("job", world.clock.monotonic() + 5)
         await asyncio.sleep(1)
         assert not any(agent.runner.units for agent in world.agents.values())
 
--- a/tests/test_rewardlimiter.py
+++ b/tests/test_rewardlimiter.py
@@ -6,12 +6,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gypsumshift.jobs.model import RewardCall
 from gypsumshift.jobs.prioritysemaphore import PrioritySemaphore
+from gypsumshift.jobs.records import RewardCall
 from gypsumshift.jobs.rewardlimiter import MAX_CALLS, RewardLimiter, calls_per_agent
 from gypsumshift.serving import BackendServer, Directory
 from tests.builders import ManualClock
-from tests.jobs_world import HOST, FakeEngine, World, routes, server
+from tests.job_builders import HOST, FakeEngine, JobCluster, routes, server
 from tests.test_agent import scenario
 from tests.test_prioritysemaphore import hold, play
 
@@ -96,7 +96,7 @@
 
 @scenario
 async def test_items_are_scored_with_one_call_at_a_time_if_the_application_is_unknown(
-    world: World,
+    world: JobCluster,
 ):
     agent = world.agent("a", FakeEngine())
     await world.submit(groups=4)
