--- a/gypsumshift/jobs/rewardlimiter.py
+++ b/gypsumshift/jobs/rewardlimiter.py
@@ -85,9 +85,9 @@
         route = routes.find(reward.host, reward.path) if reward else None
         if route is None:
             return
-        servers = self.directory.service(route.service_for(reward.id))
+        servers = self.directory.ready_servers(route.service_for(reward.id))
         slots = sum(server.slots for server in servers)
-        self.set_call_limit(calls_per_agent(slots, len(self.directory.engines())))
+        self.set_call_limit(calls_per_agent(slots, len(self.directory.ready_engines())))
 
     def set_call_limit(self, call_limit: float) -> None:
         """Set the number of calls that may be in flight; see `calls_per_agent`."""
