--- a/gypsumshift/jobs/jobmanager.py
+++ b/gypsumshift/jobs/jobmanager.py
@@ -1,7 +1,8 @@
-"""Desk: where batch jobs are submitted, read and ended.
+"""Accept, read, end and remove batch jobs.
 
-Nothing is promised before the store has it. Reads are served from a copy that
-follows the store, and from the store itself where the copy may be behind.
+A job is acknowledged only after it has been written to the store. Reads are served
+from a local copy that follows the store's changes, and from the store itself where
+the copy may be stale.
 """
 
 import asyncio
@@ -45,30 +46,31 @@
 
 __all__ = ["JobManager", "ResultPage"]
 
-# Rows and bytes of one transaction, below the 100 and 1 MB that a store takes.
+# Limits of one transaction, below the 100 rows and 1 MB that the store accepts.
 MAX_TRANSACTION_ROWS = 90
 MAX_TRANSACTION_BYTES = 700_000
-# Bytes of an item's row beside its bodies: names, headers and what encodes them. The
-# bodies are encoded twice, by a third each time, and are taken for doubled.
+# Bytes of an item's row besides its bodies: names, headers and their encoding. Bodies
+# are base64-encoded twice, each time growing by a third; twice their size is assumed.
 ITEM_OVERHEAD_BYTES = 800
-# Characters of text in one page of results: 0.07 s on a link of 30 Mbit/s.
+# Text in one page of results; takes 0.07 s to send on a link of 30 Mbit/s.
 MAX_PAGE_TEXT_CHARS = 250_000
-# Texts that are read from the store at once: enough for a page in some 20 ms.
+# Concurrent reads of texts from the store; enough to load a page in about 20 ms.
 MAX_CONCURRENT_TEXT_READS = 12
-# Seconds between tries to settle a write whose answer was lost.
+# Delay between attempts of a write that failed or whose outcome is unknown.
 WRITE_RETRY_SECONDS = 0.1
-# A copy that was not known to be current within this time is checked: results
-# must be seen everywhere a second after they were read somewhere.
+# A local copy that was last confirmed longer ago than this is checked against the
+# store: a result that one reader has seen must be visible to all within a second.
 MAX_COPY_AGE_SECONDS = 0.9
-# Seconds after which a caller may submit again: the store refuses for moments.
+# Delay that a refused caller is asked to wait before it submits again; the store
+# refuses writes for short periods only.
 RETRY_AFTER_SECONDS = 0.5
-# Seconds between answers of the table of results, which every gateway follows: a fifth
-# of the time between two reads of a trainer.
+# Interval at which changes of the result table are collected. Every gateway follows
+# this table; the interval is a fifth of the time between two reads of a trainer.
 RESULTS_GATHER_SECONDS = 0.1
-# Seconds that ended jobs are kept for readers; the users ask for 120.
+# Time for which ended jobs remain readable; the requirement is 120 s.
 ENDED_JOB_RETENTION_SECONDS = 150.0
-# Chance with which a process removes an old job, at each of its sweeps a second
-# apart: of 40 processes two try, and one alone has it done in half a minute.
+# Probability that a process removes an expired job at each check, one second apart:
+# of 40 processes two try at a time, and a single one succeeds within half a minute.
 REMOVAL_PROBABILITY = 0.05
 
 log = logs.logger("desk")
@@ -76,16 +78,16 @@
 
 @attrs.frozen
 class ResultPage:
-    """Some results of a batch job.
+    """A page of results of a batch job.
 
     Attributes
     ----------
     total : int
-        Items of the job.
+        Number of items in the job.
     results : list of Result
-        From the position asked for on.
+        Results from the requested position on.
     next : int
-        Position behind them.
+        Position after the last result of the page.
     """
 
     total: int
@@ -94,7 +96,7 @@
 
 
 class JobManager:
-    """Takes batch jobs and gives their results.
+    """Accepts batch jobs and serves their results.
 
     Parameters
     ----------
@@ -105,14 +107,15 @@
     Attributes
     ----------
     jobs : dict
-        `Job` by id, as far as known here.
-    ended : dict
-        When a job was seen to have ended, by the monotonic clock, in seconds.
-    removals : int
-        How often a job was told to be removed; any of them has a read of a job repeated
-        that was in flight, so that none need be remembered by its id.
+        Cached `Job` by id.
+    ended_at : dict
+        Time at which a job was seen to have ended, by id, in seconds of the monotonic
+        clock.
+    removal_count : int
+        Number of job removals seen. A read of a job that was in flight during any
+        removal is repeated, so that ids of removed jobs need not be kept.
     watches : list of Watch
-        To be run by the owner.
+        Watches of the store's tables, to be run by the owner.
     """
 
     def __init__(self, store: RowStore, clock: Clock, metrics: Metrics):
@@ -138,7 +141,7 @@
         self.watches = [self.job_watch, self.result_watch]
 
     def apply_job_rows(self, rows: list[Row]) -> None:
-        """Take rows of the table of jobs."""
+        """Update the cached jobs from rows of the job table."""
         for row in rows:
             if row.value is None:
                 self.drop_cached_job(row.part)
@@ -148,29 +151,30 @@
                 self.ended_at.setdefault(row.part, self.clock.monotonic())
 
     def add_job(self, row: Row) -> None:
-        """Take the row that makes a batch job exist."""
+        """Add the job that a row defines to the cache."""
         job = parse_row(row, Job)
         if job is not None:
             self.jobs[row.part] = job
 
     def apply_result_rows(self, rows: list[Row]) -> None:
-        """Take rows of the table of results."""
-        parts: dict[str, list[Row]] = {}
+        """Update the cached results from rows of the result table."""
+        rows_by_job: dict[str, list[Row]] = {}
         for row in rows:
             if row.value is not None:
-                parts.setdefault(row.part, []).append(row)
-        for part, own in parts.items():
-            self.result_log(part).add_rows(own)
+                rows_by_job.setdefault(row.part, []).append(row)
+        for job_id, job_rows in rows_by_job.items():
+            self.result_log(job_id).add_rows(job_rows)
 
     def result_log(self, job_id: str) -> ResultLog:
-        """Return the results of a job."""
+        """Return the cached results of a job."""
         return self.result_logs.setdefault(job_id, ResultLog())
 
     async def remove_expired_jobs(self, chance: random.Random) -> None:
-        """Remove jobs that ended long ago from the store, each by some process.
+        """Remove jobs from the store whose retention period has passed.
 
-        Every process may do it: the first one removes the rows, and the others are
-        told so. By chance, since all see an end at the same time.
+        Every process runs this; the first to try removes the rows, and the others see
+        the removal in the store's changes. Each tries with a small probability, since
+        all of them see a job end at the same time.
         """
         horizon = self.clock.monotonic() - ENDED_JOB_RETENTION_SECONDS
         for job_id in [j for j, at in self.ended_at.items() if at < horizon]:
@@ -178,7 +182,7 @@
                 await self.remove_job(job_id)
 
     async def remove_job(self, job_id: str) -> None:
-        """Remove all rows of a job, those that make it exist last."""
+        """Remove all rows of a job from the store, those of the job table last."""
         for table in JOB_TABLES:
             rows = await self.store.scan(table, "", job_id)
             if isinstance(rows, Unavailable):
@@ -193,7 +197,7 @@
         self.drop_cached_job(job_id)
 
     def drop_cached_job(self, job_id: str) -> None:
-        """Drop what is held in memory of a job; the store may still have it."""
+        """Remove a job from the caches; the store may still hold it."""
         self.removal_count += 1
         self.jobs.pop(job_id, None)
         self.ended_at.pop(job_id, None)
@@ -202,14 +206,15 @@
     async def submit_job(
         self, job: Job, units: list[Unit], deadline: float
     ) -> Committed | NotRun | Unknown:
-        """Accept a batch job once, however often it comes.
+        """Store a batch job; repeated submissions under one id have no effect.
 
         Parameters
         ----------
         job : Job
         units : list of Unit
         deadline : float
-            By the monotonic clock, in seconds; the outcome is unknown behind it.
+            In seconds of the monotonic clock. A write whose outcome is uncertain at
+            this time is reported as unknown.
         """
         if job.id in self.jobs:
             return Committed()
@@ -238,7 +243,7 @@
         return outcome
 
     def report_not_accepted(self, job, outcome, uncertain: bool) -> NotRun | Unknown:
-        """Say truthfully what became of a job that was not accepted for certain."""
+        """Log a failed submission; return `Unknown` if the job may be stored."""
         self.metrics.count("jobs", outcome="unknown" if uncertain else "refused")
         logs.event(
             log,
@@ -252,32 +257,35 @@
         return NotRun(outcome.reason, datetime.timedelta(seconds=RETRY_AFTER_SECONDS))
 
     def job_transactions(self, job: Job, units: list[Unit]) -> list[list[Write]]:
-        """Return the transactions of a job; the last one makes it exist."""
-        batches: list[list[Write]] = [[]]
+        """Return the transactions that store a job; the last one adds the job row."""
+        transactions: list[list[Write]] = [[]]
         size = 0
         for unit in units:
-            added = sum(
+            unit_bytes = sum(
                 2 * item.body_bytes + ITEM_OVERHEAD_BYTES for item in unit.items
             )
             if (
-                len(batches[-1]) >= MAX_TRANSACTION_ROWS
-                or size + added > MAX_TRANSACTION_BYTES
+                len(transactions[-1]) >= MAX_TRANSACTION_ROWS
+                or size + unit_bytes > MAX_TRANSACTION_BYTES
             ):
-                batches.append([])
+                transactions.append([])
                 size = 0
-            batches[-1].append(Write(UNITS, unit.key, to_row(unit), part=job.id))
-            size += added
+            transactions[-1].append(Write(UNITS, unit.key, to_row(unit), part=job.id))
+            size += unit_bytes
         row = Write(JOBS, JOB_KEY, to_row(job), ABSENT, part=job.id)
-        # Units are written only while there is no job: else another body under its id
-        # replaced 180 of 200 units of a job that ran, and a late write may do so, too.
+        # Units are written only while the job row is absent. Otherwise a submission of
+        # another body under the same id replaced 180 of 200 units of a running job; a
+        # delayed write could do the same.
         absent = attrs.evolve(row, value=None, check=True)
-        return [[*batch, absent] for batch in batches[:-1]] + [[*batches[-1], row]]
+        return [[*batch, absent] for batch in transactions[:-1]] + [
+            [*transactions[-1], row]
+        ]
 
     async def write_until_certain(self, writes: list[Write], deadline: float):
-        """Write until the outcome is certain, or the deadline has passed.
+        """Retry a transaction until its outcome is certain or the deadline has passed.
 
-        The rows are the same on each try, or conditional on what is absent, so trying
-        again does no harm.
+        Retries are safe: each attempt writes the same rows, or writes them only where
+        they are absent.
         """
         uncertain = None
         while True:
@@ -286,13 +294,13 @@
                 return outcome
             if isinstance(outcome, Unknown):
                 uncertain = outcome
-            left = deadline - self.clock.monotonic()
-            if left <= WRITE_RETRY_SECONDS:
+            remaining = deadline - self.clock.monotonic()
+            if remaining <= WRITE_RETRY_SECONDS:
                 return uncertain or outcome
             await self.clock.sleep(WRITE_RETRY_SECONDS)
 
     async def find_job(self, job_id: str) -> Job | Missing | Unavailable:
-        """Return a job, from the store where it is not known here."""
+        """Return a job from the cache, or else from the store."""
         while job_id not in self.jobs:
             removals = self.removal_count
             row = await self.store.read(JOBS, JOB_KEY, job_id)
@@ -302,8 +310,9 @@
                 job = from_row(row.value, Job)
             except InvalidRowError as error:
                 return Unavailable(str(error))
-            # An answer may be older than a removal told while it was on its way. Kept,
-            # it had the next submission of the job answered 202 with 0 rows stored.
+            # The row may have been read before a removal that was seen meanwhile. When
+            # such a job was cached, its next submission was answered 202 although no
+            # row was stored.
             if self.removal_count == removals:
                 self.jobs[job_id] = job
         return self.jobs[job_id]
@@ -311,14 +320,15 @@
     async def read_results(
         self, job_id: str, after: int, wait: float
     ) -> ResultPage | Missing | Unavailable:
-        """Return results of a job from a position on.
+        """Return a page of a job's results.
 
         Parameters
         ----------
         job_id : str
         after : int
+            Position of the first result, counted from 0.
         wait : float
-            Seconds to wait for the first result.
+            Longest time to wait for the first result, in seconds.
         """
         known = job_id in self.jobs
         job = await self.find_job(job_id)
@@ -335,35 +345,38 @@
                 return outcome
         page = results.page(after, MAX_PAGE_TEXT_CHARS)
         texts = await asyncio.gather(*(self.read_text(job_id, r) for r in page))
-        missing = [text for text in texts if not isinstance(text, str)]
-        if missing:
-            return missing[0]
-        whole = zip(page, texts, strict=True)
-        found = [attrs.evolve(result, text=text) for result, text in whole]
+        failed = [text for text in texts if not isinstance(text, str)]
+        if failed:
+            return failed[0]
+        results_with_texts = zip(page, texts, strict=True)
+        found = [attrs.evolve(result, text=text) for result, text in results_with_texts]
         return ResultPage(job.item_count, found, after + len(found))
 
     async def read_text(self, job_id: str, result: Result) -> str | Unavailable:
-        """Return the text of a result, from rows of its own."""
+        """Return the text of a result, read from its rows in the text table."""
         if not result.pieces:
             return result.text
         async with self.text_read_limit:
             rows = await self.store.scan(TEXTS, f"{result.item}/", job_id)
         if isinstance(rows, Unavailable):
             return rows
-        own = rows_of_item(rows, result.item)
-        if len(own) != result.pieces:
-            return Unavailable("a text is not whole yet")
-        return "".join(str(row.value.get("text", "")) for row in own)
+        text_rows = rows_of_item(rows, result.item)
+        if len(text_rows) != result.pieces:
+            return Unavailable(
+                f"the text of item {result.item!r} is incomplete: "
+                f"read {len(text_rows)} of {result.pieces} rows"
+            )
+        return "".join(str(row.value.get("text", "")) for row in text_rows)
 
     async def refresh_results(
         self, job_id: str, after: int, known: bool
     ) -> Unavailable | None:
-        """Read a job's results from the store where the copy may be behind."""
+        """Read a job's results from the store if the local copy may be stale."""
         results = self.result_log(job_id)
-        behind = (
+        stale = (
             self.clock.monotonic() - self.result_watch.current_at > MAX_COPY_AGE_SECONDS
         )
-        if known and after == len(results) and not behind:
+        if known and after == len(results) and not stale:
             return None
         rows = await self.store.scan(RESULTS, "", job_id)
         if isinstance(rows, Unavailable):
@@ -374,7 +387,7 @@
     async def read_item_body(
         self, job_id: str, item_id: str
     ) -> bytes | Missing | Unavailable:
-        """Return the body of an item."""
+        """Return the request body of an item."""
         job = await self.find_job(job_id)
         if not isinstance(job, Job):
             return job
@@ -389,10 +402,12 @@
         except InvalidRowError as error:
             return Unavailable(str(error))
         bodies = (item.body for item in unit.items if item.id == item_id)
-        return next(bodies, Unavailable("the unit does not hold the item"))
+        return next(
+            bodies, Unavailable(f"unit {key!r} does not contain item {item_id!r}")
+        )
 
     async def end_job(self, job_id: str, deadline: float):
-        """End a job: no more of its items are started.
+        """Mark a job as ended, so that no more of its items are started.
 
         Returns
         -------
--- a/tests/test_jobmanager_machine.py
+++ b/tests/test_jobmanager_machine.py
@@ -1,12 +1,21 @@
-"""Two desks over a store with faults: what is accepted stays, positions too."""
+"""State machine: two job managers share a store that fails.
+
+Accepted jobs stay complete, and the positions of their results do not change.
+"""
 
 import asyncio
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from gypsumshift.jobs import JobManager, Result, ResultState, Unit, split_into_units
-from gypsumshift.jobs import jobmanager as desk_module
+from gypsumshift.jobs import (
+    JobManager,
+    Result,
+    ResultState,
+    Unit,
+    jobmanager,
+    split_into_units,
+)
 from gypsumshift.jobs.records import UNITS, parse_rows
 from gypsumshift.jobs.resultwriter import PendingResult, result_writes
 from gypsumshift.outcomes import Committed, NotRun, Unavailable
@@ -14,17 +23,17 @@
 from tests.job_builders import METRICS, items, job
 
 JOBS = ["a", "b"]
-DESKS = st.integers(0, 1)
+MANAGERS = st.integers(0, 1)
 
 
-class TwoDesks(RuleBasedStateMachine):
-    """Submissions, results, reads and ends at two desks, in any order."""
+class TwoManagers(RuleBasedStateMachine):
+    """Submissions, results, reads and ends at two job managers, in any order."""
 
     def __init__(self):
         super().__init__()
         self.store = FaultyTables()
         self.clock = ManualClock()
-        self.desks = [JobManager(self.store, self.clock, METRICS) for _ in range(2)]
+        self.managers = [JobManager(self.store, self.clock, METRICS) for _ in range(2)]
         self.accepted = set()
         self.refused_always = set(JOBS)
         self.read_before = {}
@@ -40,12 +49,12 @@
     def store_loses(self, lose, drop):
         self.store.lose_next, self.store.drop_next = lose, drop
 
-    @rule(desk=DESKS, name=st.sampled_from(JOBS))
-    def submit(self, desk, name):
+    @rule(manager=MANAGERS, name=st.sampled_from(JOBS))
+    def submit(self, manager, name):
         units = split_into_units(items(2, step=name, body=b"body"))
         deadline = self.clock.monotonic() + 1
         outcome = self.do(
-            self.desks[desk].submit_job(job(units, name), units, deadline)
+            self.managers[manager].submit_job(job(units, name), units, deadline)
         )
         if isinstance(outcome, Committed):
             self.accepted.add(name)
@@ -54,7 +63,7 @@
 
     @rule(name=st.sampled_from(JOBS), number=st.integers(0, 3), text=st.text("xy"))
     def finish(self, name, number, text):
-        """Two agents may finish one item, with texts of their own."""
+        """Store a result; two agents may finish one item with different texts."""
         item = f"{name}-{number // 2}-{number % 2}"
         result = Result(item, ResultState.WHOLE, text, (1,), "score")
         self.store_answers()
@@ -65,15 +74,15 @@
         self.store.down = False
         self.store.lose_next = self.store.drop_next = 0
 
-    @rule(desk=DESKS, name=st.sampled_from(JOBS))
-    def submit_and_read(self, desk, name):
+    @rule(manager=MANAGERS, name=st.sampled_from(JOBS))
+    def submit_and_read(self, manager, name):
         self.store_answers()
-        self.submit(desk, name)
-        self.read(desk, name, 0)
+        self.submit(manager, name)
+        self.read(manager, name, 0)
 
-    @rule(desk=DESKS, name=st.sampled_from(JOBS), after=st.integers(0, 4))
-    def read(self, desk, name, after):
-        page = self.do(self.desks[desk].read_results(name, after, 0))
+    @rule(manager=MANAGERS, name=st.sampled_from(JOBS), after=st.integers(0, 4))
+    def read(self, manager, name, after):
+        page = self.do(self.managers[manager].read_results(name, after, 0))
         if isinstance(page, Unavailable):
             assert self.store.down
             return
@@ -84,9 +93,9 @@
         for place, result in enumerate(page.results, after):
             assert seen.setdefault(place, result) == result, "a result moved"
 
-    @rule(desk=DESKS, name=st.sampled_from(JOBS))
-    def end(self, desk, name):
-        self.do(self.desks[desk].end_job(name, self.clock.monotonic() + 1))
+    @rule(manager=MANAGERS, name=st.sampled_from(JOBS))
+    def end(self, manager, name):
+        self.do(self.managers[manager].end_job(name, self.clock.monotonic() + 1))
 
     @invariant()
     def accepted_jobs_are_whole(self):
@@ -101,28 +110,30 @@
             assert ("jobs", name, "job") not in self.store.rows
 
 
-class TwoDesksManyWrites(TwoDesks):
-    """The same where each unit is a transaction, and other bodies come under an id.
+class TwoManagersWithManyTransactions(TwoManagers):
+    """The same with one transaction per unit and other bodies under a known job id.
 
-    A job's units are stored before the job. What users would see where they change
-    behind it: items that are run with a body that came after the job was accepted.
+    A job's units are stored before the job row. If they changed after it was written,
+    items would run with a body that was sent after the job had been accepted.
     """
 
     def __init__(self):
         super().__init__()
-        self.writes_at_once = desk_module.MAX_TRANSACTION_ROWS
-        desk_module.MAX_TRANSACTION_ROWS = 1
+        self.max_transaction_rows = jobmanager.MAX_TRANSACTION_ROWS
+        jobmanager.MAX_TRANSACTION_ROWS = 1
         self.units_before = {}
 
     def teardown(self):
-        desk_module.MAX_TRANSACTION_ROWS = self.writes_at_once
+        jobmanager.MAX_TRANSACTION_ROWS = self.max_transaction_rows
 
-    @rule(desk=DESKS, name=st.sampled_from(JOBS), body=st.sampled_from([b"x", b"y"]))
-    def submit_another_body(self, desk, name, body):
+    @rule(
+        manager=MANAGERS, name=st.sampled_from(JOBS), body=st.sampled_from([b"x", b"y"])
+    )
+    def submit_another_body(self, manager, name, body):
         units = split_into_units(items(2, step=name, body=body))
         deadline = self.clock.monotonic() + 1
         outcome = self.do(
-            self.desks[desk].submit_job(job(units, name), units, deadline)
+            self.managers[manager].submit_job(job(units, name), units, deadline)
         )
         if isinstance(outcome, Committed):
             self.accepted.add(name)
@@ -140,5 +151,5 @@
             assert len({i.body for unit in found for i in unit.items}) == 1
 
 
-TestTwoDesks = TwoDesks.TestCase
-TestTwoDesksManyWrites = TwoDesksManyWrites.TestCase
+TestTwoManagers = TwoManagers.TestCase
+TestTwoManagersWithManyTransactions = TwoManagersWithManyTransactions.TestCase
