--- a/gypsumshift/jobs/partials.py
+++ b/gypsumshift/jobs/partials.py
@@ -1,8 +1,8 @@
-"""Partials: what was generated of items that another agent may have to take over.
+"""Save and read partial results, so that another agent can resume an item.
 
-A long item takes 6 of the 7 s that a step has. Begun anew after the 2.6 s in which a
-dead agent is missed, it made its step late; from what was saved a second before, it
-does not.
+A long item takes 6 s of the 7 s available for a step, and the failure of an agent is
+detected after 2.6 s. Restarted from its beginning after that, a long item delayed its
+step; resumed from a partial result that was saved a second earlier, it does not.
 """
 
 from gypsumshift.clock import Clock
@@ -13,18 +13,19 @@
 
 __all__ = ["PartialStore", "scan_until_answered", "rows_of_item"]
 
-# Runs that are saved in one transaction, below the 1 MB that a store takes.
+# Partial results in one transaction, to stay below the 1 MB that a store accepts.
 MAX_TRANSACTION_PARTIALS = 8
 
 
 class PartialStore:
-    """Saves what an agent has generated of its items, and reads what others left.
+    """Saves partial results of an agent's items and reads those of any agent.
 
     Parameters
     ----------
     store : RowStore
     session : str
-        Start of the agent; rows of two agents that run one item stand side by side.
+        Identifies the start of the agent. It is part of the row key, so that agents
+        that run the same item do not overwrite each other's rows.
     clock : Clock
     """
 
@@ -34,11 +35,11 @@
         self.clock = clock
 
     def row_key(self, run: ItemRun) -> str:
-        """Return the key under which this agent saves an item."""
+        """Return the key of the row in which this agent saves an item."""
         return f"{run.item.id}/{self.session}"
 
     def partial_writes(self, job: str, runs: list[ItemRun]) -> list[Write]:
-        """Return the rows that hold what was generated of some items, one for each."""
+        """Return one write for each item that has a partial result."""
         partials = {self.row_key(run): run.make_partial() for run in runs}
         return [
             Write(PARTIALS, key, to_row(partial), part=job)
@@ -47,13 +48,15 @@
         ]
 
     async def save_runs(self, job: str, runs: list[ItemRun]) -> None:
-        """Save what was generated of a job's items since they were saved last."""
-        due = [run for run in runs if run.needs_saving]
-        for start in range(0, len(due), MAX_TRANSACTION_PARTIALS):
-            await self.save_batch(job, due[start : start + MAX_TRANSACTION_PARTIALS])
+        """Save the partial results of those items of a job that have unsaved events."""
+        unsaved = [run for run in runs if run.needs_saving]
+        for start in range(0, len(unsaved), MAX_TRANSACTION_PARTIALS):
+            await self.save_batch(
+                job, unsaved[start : start + MAX_TRANSACTION_PARTIALS]
+            )
 
     async def save_batch(self, job: str, runs: list[ItemRun]) -> None:
-        """Save some items; what the store does not take now is saved later."""
+        """Save partial results in one transaction; on failure they stay unsaved."""
         counts = [len(run.events) for run in runs]
         writes = self.partial_writes(job, runs)
         if writes and not isinstance(await self.store.commit(writes), Committed):
@@ -62,20 +65,21 @@
             run.saved_events = min(count, len(run.events))
 
     async def read_longest(self, job: str, item: str) -> Partial | None:
-        """Return the longest text that an agent left of an item."""
+        """Return the partial result of an item with the most events, if any."""
         rows = await scan_until_answered(
             self.store, self.clock, PARTIALS, job, f"{item}/"
         )
         own = rows_of_item(rows, item)
-        found = [partial for _, partial in parse_rows(own, Partial)]
-        return max(found, key=lambda partial: len(partial.events), default=None)
+        partials = [partial for _, partial in parse_rows(own, Partial)]
+        return max(partials, key=lambda partial: len(partial.events), default=None)
 
 
 def rows_of_item(rows: list[Row], item: str) -> list[Row]:
-    """Return the rows whose keys are those of an item and one part more.
+    """Return the rows whose keys consist of an item id and one further part.
 
-    A scan by prefix finds those of the item ``x/y`` for ``x``, too: with these, the
-    text of ``x`` was never whole, and it went on from events of the other one.
+    A scan for the prefix ``x/`` also returns the rows of the item ``x/y``. When these
+    were included, the text of ``x`` was never considered complete, and ``x`` was
+    resumed from the events of the other item.
     """
     return [row for row in rows if row.key.rpartition("/")[0] == item]
 
@@ -83,7 +87,7 @@
 async def scan_until_answered(
     store: RowStore, clock: Clock, table: str, job: str, prefix: str = ""
 ) -> list[Row]:
-    """Read rows of a job, however long that takes."""
+    """Return rows of a job, retrying until the store answers."""
     while True:
         rows = await store.scan(table, prefix, job)
         if not isinstance(rows, Unavailable):
--- a/gypsumshift/jobs/resultlog.py
+++ b/gypsumshift/jobs/resultlog.py
@@ -1,7 +1,8 @@
-"""Result log: the results of one batch job, each at a position that never moves.
+"""Keep the results of a batch job in an order that is the same in every process.
 
-A result is one row, written only where absent. Its position is its rank by the
-transaction that wrote it and, within one, by its item: the same at every process.
+A result is one row, written only if it is absent. Results are ordered by the number of
+the transaction that wrote them and, within a transaction, by item id. So the position
+of a result never changes.
 """
 
 import asyncio
@@ -20,13 +21,14 @@
 
 @attrs.frozen(order=True)
 class Entry:
-    """One result with what decides its position.
+    """A result with its sort key.
 
     Attributes
     ----------
     version : int
-        Transaction that wrote it.
+        Number of the transaction that wrote the result.
     item : str
+        Id of the item.
     result : Result
     """
 
@@ -36,18 +38,18 @@
 
 
 class ResultLog:
-    """Results of one batch job in their order.
+    """Ordered results of one batch job.
 
-    Rows are taken in any order and any number of times, as long as each source
-    gives every row up to some transaction.
+    Rows may be added in any order and repeatedly, provided that each source delivers
+    all rows up to some transaction.
 
     Attributes
     ----------
     entries : list of Entry
-    items : dict
-        Transaction that wrote the result, by item.
+    version_by_item : dict
+        Number of the transaction that wrote an item's result.
     changed : asyncio.Event
-        Set, and replaced by a new one, when a result comes.
+        Set when results were added, and then replaced by a new event.
     """
 
     def __init__(self):
@@ -59,11 +61,11 @@
         return len(self.entries)
 
     def add_rows(self, rows: list[Row]) -> None:
-        """Take rows of the table of results."""
+        """Add the results of rows of the result table."""
         known = len(self)
         last = self.entries[-1] if self.entries else None
         for row in rows:
-            # Looked up row by row: one answer may tell a row twice.
+            # Checked for each row, since one answer may contain a row twice.
             if row.key in self.version_by_item:
                 self.check_transaction(row)
             elif (result := parse_row(row, Result)) is not None:
@@ -73,19 +75,24 @@
             self.changed = asyncio.Event()
 
     def insert_result(self, row: Row, result: Result, last: Entry | None) -> None:
-        """Add a result; one in front of the last that was known moves others."""
+        """Insert a result; log an error if it shifts results known before."""
         entry = Entry(row.version, row.key, result)
         if last is not None and entry < last:
-            log.error("A result moves those behind it: {} of {}", row.key, row.part)
+            log.error(
+                "The result of item {} of job {} shifts later results.",
+                row.key,
+                row.part,
+            )
         self.version_by_item[row.key] = row.version
         bisect.insort(self.entries, entry)
 
     def check_transaction(self, row: Row) -> None:
-        """Log a result that is told as of another transaction than before."""
+        """Log an error if a known result comes with another transaction number."""
         known = self.version_by_item[row.key]
         if known != row.version:
             log.error(
-                "A result was written twice: {} of {}, in {} and {}",
+                "The result of item {} of job {} was written twice, "
+                "in transactions {} and {}.",
                 row.key,
                 row.part,
                 known,
@@ -98,9 +105,9 @@
         Parameters
         ----------
         after : int
-            First position, counted from 0.
+            Position of the first result, counted from 0.
         limit : int
-            Characters of text; one result is returned whatever its size.
+            Most characters of text; the first result is returned whatever its size.
         """
         found: list[Result] = []
         size = 0
--- a/gypsumshift/jobs/resultwriter.py
+++ b/gypsumshift/jobs/resultwriter.py
@@ -1,4 +1,4 @@
-"""Committer: writes results to the store, each once, a few in one transaction."""
+"""Write results to the store, each once and several per transaction."""
 
 import asyncio
 from collections.abc import Collection
@@ -21,16 +21,16 @@
 
 __all__ = ["ResultWriter", "PendingResult"]
 
-# Seconds for which results are gathered: a fifth of the time between two reads of
-# a trainer, and it halves the transactions of a step.
+# Time for which results are collected before they are written. A fifth of the time
+# between two reads of a trainer; it halves the number of transactions of a step.
 GATHER_SECONDS = 0.03
-# Results of one transaction, below the 100 rows and 1 MB that a store takes.
+# Limits of one transaction, below the 100 rows and 1 MB that a store accepts.
 MAX_TRANSACTION_RESULTS = 20
 MAX_TRANSACTION_TEXT_CHARS = 400_000
-# Characters of text in one row. A store takes 64 KiB; JSON and letters beyond ASCII
-# take more room than they have characters.
+# Text in one row, which a store limits to 64 KiB. JSON escapes and non-ASCII letters
+# take several bytes per character.
 MAX_ROW_TEXT_CHARS = 20_000
-# Seconds before a write is tried again; what is not stored stays in memory.
+# Delays before a failed write is retried; unstored results stay in memory meanwhile.
 FIRST_RETRY_SECONDS = 0.1
 MAX_RETRY_SECONDS = 0.2
 
@@ -39,17 +39,19 @@
 
 @attrs.frozen
 class PendingResult:
-    """A result to be stored.
+    """A result that is to be stored.
 
     Attributes
     ----------
     job : str
+        Id of the job.
     unit : str
+        Key of the unit.
     result : Result
-    last : Claim or None
-        Claim to be written with it, where it is the last one of its unit.
-    partial : str
-        Key of what was saved of it before, which goes; empty for nothing.
+    final_claim : Claim or None
+        Claim to write in the same transaction if this is the last result of its unit.
+    partial_key : str
+        Key of the item's saved partial result, which is deleted; empty if none exists.
     """
 
     job: str
@@ -60,7 +62,7 @@
 
 
 class ResultWriter:
-    """Owns the results that are not stored yet.
+    """Holds results until they are stored, with one writer task per job.
 
     Parameters
     ----------
@@ -69,8 +71,8 @@
 
     Attributes
     ----------
-    settled : asyncio.Event
-        Set, and replaced by a new one, when results are stored.
+    batch_stored : asyncio.Event
+        Set when a batch of results has been stored, and then replaced by a new event.
     """
 
     def __init__(self, store: RowStore, clock: Clock):
@@ -81,23 +83,23 @@
         self.batch_stored = asyncio.Event()
 
     def enqueue(self, finished: PendingResult) -> None:
-        """Have a result stored."""
+        """Queue a result for its job's writer task, which is started if none runs."""
         self.pending.setdefault(finished.job, []).append(finished)
         if finished.job not in self.writer_tasks:
             task = asyncio.create_task(self.write_pending(finished.job))
             self.writer_tasks[finished.job] = task
 
     def pending_items(self, job: str) -> set[str]:
-        """Return the items of a job whose results are on their way to the store."""
+        """Return the ids of a job's items whose results are not stored yet."""
         return {finished.result.item for finished in self.pending.get(job, ())}
 
     async def wait_until_stored(self, job: str, items: Collection[str]) -> None:
-        """Wait until no result of these items is on its way to the store."""
+        """Wait until no result of the given items is pending."""
         while not self.pending_items(job).isdisjoint(items):
             await self.batch_stored.wait()
 
     async def write_pending(self, job: str) -> None:
-        """Store the results of one job until none waits."""
+        """Store the results of one job until none is pending."""
         try:
             await self.clock.sleep(GATHER_SECONDS)
             while self.pending.get(job):
@@ -112,7 +114,7 @@
                 self.pending.pop(job, None)
 
     async def store_batch(self, job: str, batch: list[PendingResult]) -> None:
-        """Store some results; one that is there already stays as it is."""
+        """Store a batch of results; rows that exist already are left unchanged."""
         outcome = await self.commit_until_certain(job, batch)
         if isinstance(outcome, Conflict) and len(batch) > 1:
             for finished in batch:
@@ -128,7 +130,7 @@
         )
 
     async def commit_until_certain(self, job: str, batch: list[PendingResult]):
-        """Write until the outcome is certain: taken, or there before."""
+        """Retry a transaction until it is committed or conflicts with existing rows."""
         writes = [write for finished in batch for write in result_writes(finished)]
         pause = FIRST_RETRY_SECONDS
         while True:
@@ -137,7 +139,7 @@
                 return outcome
             logs.event(
                 log,
-                "Results wait for the store.",
+                "Storing results failed; retrying after a delay.",
                 job=job,
                 items=len(batch),
                 reason=outcome.reason,
@@ -146,38 +148,40 @@
             pause = min(pause * 2, MAX_RETRY_SECONDS)
 
     async def drain(self) -> None:
-        """Wait until everything is stored."""
+        """Wait until all pending results are stored."""
         while self.writer_tasks:
             await asyncio.wait(self.writer_tasks.values())
 
 
 def first_batch(waiting: list[PendingResult]) -> list[PendingResult]:
-    """Return the results that fit into one transaction, at least one.
+    """Return the first results that fit into one transaction, at least one.
 
-    Never two of one item: each row is written only where there is none, and the store
-    looks once for all of a transaction. Both were written, the changes told the item
-    twice, and the rows of the longer text stood behind the shorter one. Nor two ends of
-    one unit, which write its claim.
+    A transaction never holds two results of one item. Each row is written only if it is
+    absent, and the store checks this once for the whole transaction: both results were
+    written, the changes listed the item twice, and rows of the longer text followed
+    those of the shorter one. Nor does it hold two final results of one unit, since both
+    write the unit's claim.
     """
     size = 0
-    named: set[tuple[str, str]] = set()
+    used_rows: set[tuple[str, str]] = set()
     for count, finished in enumerate(waiting[:MAX_TRANSACTION_RESULTS]):
         size += len(finished.result.text)
         rows = {(RESULTS, finished.result.item)}
         if finished.final_claim is not None:
             rows.add((CLAIMS, finished.unit))
-        if count and size > MAX_TRANSACTION_TEXT_CHARS or rows & named:
+        if count and size > MAX_TRANSACTION_TEXT_CHARS or rows & used_rows:
             return waiting[:count]
-        named |= rows
+        used_rows |= rows
     return waiting[:MAX_TRANSACTION_RESULTS]
 
 
 def result_writes(finished: PendingResult) -> list[Write]:
-    """Return the rows of one result.
+    """Return the writes that store one result.
 
-    The text lies in rows of its own, which are only read for whoever asks: every
-    gateway follows the results, and the texts of all steps filled the links of the
-    smallest hosts (0.53 GB a minute to 41 hosts, some with 30 Mbit/s).
+    The text is stored in separate rows, which are read only on request. Every gateway
+    follows the result table, and with the texts of all steps in it the traffic
+    saturated the links of the smallest hosts (0.53 GB a minute to 41 hosts, some with
+    30 Mbit/s).
     """
     result, part = finished.result, finished.job
     text = result.text
@@ -187,8 +191,8 @@
         key = f"{result.item}/{number:04d}"
         piece = {"text": text[start : start + MAX_ROW_TEXT_CHARS]}
         writes.append(Write(TEXTS, key, piece, ABSENT, part=part))
-    short = attrs.evolve(result, text="", pieces=len(starts), size=len(text))
-    writes.append(Write(RESULTS, result.item, to_row(short), ABSENT, part=part))
+    result_row = attrs.evolve(result, text="", pieces=len(starts), size=len(text))
+    writes.append(Write(RESULTS, result.item, to_row(result_row), ABSENT, part=part))
     if finished.partial_key:
         writes.append(Write(PARTIALS, finished.partial_key, None, part=part))
     if finished.final_claim is not None:
--- a/gypsumshift/jobs/unitreleaser.py
+++ b/gypsumshift/jobs/unitreleaser.py
@@ -1,4 +1,4 @@
-"""Returns: units that an agent gives back, until the store has them as free."""
+"""Release claimed units, so that other agents can claim them."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,24 +16,25 @@
 
 
 class UnitReleaser:
-    """Gives units back, with what was generated of them.
+    """Releases units and stores the partial results of their items.
 
     Parameters
     ----------
     store : RowStore
     tracker : ClaimTracker
-        Told what becomes of the claims.
-    partials : Partials
+        Receives the changed claims.
+    partials : PartialStore
     clock : Clock
-    changed : callable
-        Called when a unit is free.
+    on_release : callable
+        Called when a unit may have become free.
 
     Attributes
     ----------
     pending : set of (str, str)
-        Job and unit of those that are being given back, which the store still has as
-        this agent's.
+        Job and unit of the releases in progress. In the store these units may still be
+        claimed by this agent.
     tasks : set of asyncio.Task
+        Running releases.
     """
 
     def __init__(
@@ -42,22 +43,23 @@
         tracker: ClaimTracker,
         partials: PartialStore,
         clock: Clock,
-        changed: Callable[[], None],
+        on_release: Callable[[], None],
     ):
         self.store = store
         self.tracker = tracker
         self.partials = partials
         self.clock = clock
-        self.changed = changed
+        self.on_release = on_release
         self.pending: set[tuple[str, str]] = set()
         self.tasks: set[asyncio.Task] = set()
 
     def start_release(self, unit: UnitRun, pause: float = 0.0) -> asyncio.Task:
-        """Begin to give a unit back, after a pause in seconds.
+        """Start a task that releases a unit after a pause in seconds.
 
-        It counts as returning from this moment on, not from the first turn of its
-        task: the store still has it as this agent's, and whoever looks for work in
-        between began it again (6 runs of an item that fails, in its pause, for 1 due).
+        The unit is marked as pending at once rather than when the task first runs. The
+        store still lists it as claimed by this agent, so a search for work in between
+        started the unit again: an item that fails ran 6 times during its pause instead
+        of once.
         """
         self.pending.add((unit.job.id, unit.key))
         task = asyncio.create_task(self.release_after_pause(unit, pause))
@@ -66,7 +68,7 @@
         return task
 
     async def release_after_pause(self, unit: UnitRun, pause: float) -> None:
-        """Write what was generated of a unit, and that it is free."""
+        """Wait for a pause in seconds, then release a unit."""
         try:
             await self.clock.sleep(pause)
             await self.write_release(unit)
@@ -74,28 +76,29 @@
             self.pending.discard((unit.job.id, unit.key))
 
     async def write_release(self, unit: UnitRun) -> None:
-        """Write that a unit is free until the outcome is certain."""
+        """Store an empty claim and the partial results; retry until certain."""
         writes = self.partials.partial_writes(unit.job.id, list(unit.runs.values()))
-        free = Write(
+        release = Write(
             CLAIMS, unit.key, to_row(Claim()), unit.claim_version, part=unit.job.id
         )
-        outcome = await self.store.commit([*writes, free])
+        outcome = await self.store.commit([*writes, release])
         while not isinstance(outcome, (Committed, Conflict)):
             await self.clock.sleep(RETRY_PAUSE)
-            outcome = await self.store.commit([*writes, free])
+            outcome = await self.store.commit([*writes, release])
         if isinstance(outcome, Conflict):
             await self.reload_claim(unit)
             return
-        row = Row(CLAIMS, unit.key, outcome.version, free.value, unit.job.id)
+        row = Row(CLAIMS, unit.key, outcome.version, release.value, unit.job.id)
         self.tracker.apply_claim_rows([row])
-        self.changed()
+        self.on_release()
 
     async def reload_claim(self, unit: UnitRun) -> None:
-        """Read who holds a unit by the store.
+        """Update the claim tracker with a unit's claim as the store holds it.
 
-        A conflict says that the claim has changed: an earlier try was carried out and
-        its answer lost, or another agent holds the unit. Known only as this agent's,
-        it was begun again.
+        A conflict means that the claim has changed: either an earlier attempt was
+        committed and its answer lost, or another agent has claimed the unit. Without
+        this update the tracker still listed the unit as this agent's, so that it was
+        started again.
         """
         row = await self.store.read(CLAIMS, unit.key, unit.job.id)
         while isinstance(row, Unavailable) or self.is_stale(row, unit):
@@ -103,8 +106,8 @@
             row = await self.store.read(CLAIMS, unit.key, unit.job.id)
         if isinstance(row, Row):
             self.tracker.apply_claim_rows([row])
-            self.changed()
+            self.on_release()
 
     def is_stale(self, row: Row | Missing, unit: UnitRun) -> bool:
-        """Tell whether a claim was read as it was before it changed."""
+        """Return whether a read returned the claim as it was before it changed."""
         return isinstance(row, Row) and row.version <= unit.claim_version
--- a/gypsumshift/jobs/unitrun.py
+++ b/gypsumshift/jobs/unitrun.py
@@ -1,4 +1,4 @@
-"""Unit run: a claimed unit on its way, and what it takes of its engine."""
+"""State of a claimed unit while its items run, and the engine capacity it uses."""
 
 import asyncio
 
@@ -12,20 +12,21 @@
 
 @attrs.define
 class UnitRun:
-    """A claimed unit on its way.
+    """A claimed unit whose items are being run.
 
     Attributes
     ----------
     job : Job
     summary : UnitSummary
-    version : int
-        Of the row of its claim.
+    claim_version : int
+        Version of the unit's row in the claim table.
     claimed_at : float
-        By the monotonic clock, in seconds.
+        Time of the claim, in seconds of the monotonic clock.
     runs : dict
-        `ItemRun` by item, of those without a result.
+        `ItemRun` by item id, for items without a result.
     tasks : dict
-        Task by item; one under the empty name while the items are being read.
+        Task by item id. While the items are read from the store, the reading task is
+        listed under the empty string.
     """
 
     job: Job
@@ -42,20 +43,20 @@
 
     @property
     def generating_runs(self) -> list[ItemRun]:
-        """Items that take a place of the engine, or are about to."""
+        """Runs that occupy a slot of the engine or are about to."""
         runs = self.runs.values()
         return [run for run in runs if not (run.generated or run.held_back)]
 
     @property
     def slots_used(self) -> int:
-        """Number of the items that take a place of the engine, or are about to."""
+        """Number of engine slots that the unit occupies or is about to occupy."""
         return (
             len(self.summary.items) if "" in self.tasks else len(self.generating_runs)
         )
 
     @property
     def memory_estimates(self) -> list[int]:
-        """Tokens of the engine's memory that each of these is estimated to take."""
+        """Estimated engine memory of each item that occupies a slot, in tokens."""
         if "" in self.tasks:
             return [self.summary.memory] * len(self.summary.items)
         return [run.item.memory for run in self.generating_runs]
--- a/tests/late_answer_builders.py
+++ b/tests/late_answer_builders.py
@@ -1,4 +1,4 @@
-"""Builders for tests of late answers: engines that wait, stores that keep silent."""
+"""Builders for tests of late answers: engines that block, stores that do not answer."""
 
 import asyncio
 
@@ -18,13 +18,13 @@
 
 
 async def run_loop_turns(count=500):
-    """Let as many turns of the loop pass as a run of an item takes, and more."""
+    """Run more iterations of the event loop than running an item takes."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
 class BlockingEngine(FakeEngine):
-    """Engine at which some items wait for an event of their own before they begin."""
+    """Engine that blocks given items until their entries in ``stuck`` are set."""
 
     def __init__(self, *stuck):
         super().__init__()
@@ -38,7 +38,7 @@
 
 
 class FailingEngine(FakeEngine):
-    """Engine whose client meets an error of the program."""
+    """Engine whose client raises an unexpected exception."""
 
     async def stream(self, server, item, host, after, urgency):
         self.started.append((item.id, after))
@@ -47,7 +47,7 @@
 
 
 class LostReleaseTables(HeldAnswerTables):
-    """Tables that lose the answer to the first unit given back, and tell no change."""
+    """Tables that lose the answer to the first release and can hold back changes."""
 
     def __init__(self):
         super().__init__()
@@ -68,7 +68,7 @@
 
 
 class LostClaimTables(HeldAnswerTables):
-    """Tables that carry claims out, and say nothing of them until told to."""
+    """Tables that store claims and hold back their answers and changes."""
 
     def __init__(self):
         super().__init__()
@@ -91,7 +91,7 @@
 
 
 class NoClaimChangesTables(HeldAnswerTables):
-    """Tables whose changes tell nothing of claims."""
+    """Tables that never report changes of claims."""
 
     async def changes(self, table, after, wait):
         if table == CLAIMS:
@@ -100,7 +100,7 @@
 
 
 class ClaimRefusingTables(MemoryTables):
-    """Tables that refuse claims and have none."""
+    """Tables that answer every write of a claim with a conflict."""
 
     def __init__(self):
         super().__init__()
--- a/tests/test_late_answers.py
+++ b/tests/test_late_answers.py
@@ -1,21 +1,22 @@
-"""Answers to claims that come after the store's changes told the claims.
-
-What users saw: two items of a step stood at two positions each, the second ones 5 and
-7, at the gateway that a trainer read from.
-
-Order of events: the store was slow for some seconds. It carried an agent's claim of a
-unit out and told it in its changes, and answered it 0.3 to 0.5 s later. The agent ran
-the unit as soon as it was told, had both results, and then took the late answer for a
-new claim and ran both items again. Other results of the step were on their way to the
-store, and behind them both results of each item waited. They went into one transaction,
-each row written only where there was none, which held for both. Gateways that follow
-the changes were told the row twice and listed the item twice; those that read it were
-told it once.
-
-Evidence: by the engines' record the same agent sent the same two items 0.11 s after
-their first runs had ended; the positions are odd and lie two apart, as those of the
-second halves of two pairs do; and with the store's answers held as below, the agents
-start each unit twice, the transaction holds each item twice, and readers get it twice.
+"""Answers to claims that arrive after the claims were seen in the store's changes.
+
+The failure: two items of a step were listed at two positions each, the second time at 5
+and 7, at the gateway that a trainer read from.
+
+How it came about: the store was slow for some seconds. It carried out an agent's claim
+of a unit, published it in its changes, and answered the claim 0.3 to 0.5 s later. The
+agent ran the unit as soon as it saw the change and had both results. It then took the
+late answer for a new claim and ran both items again. Other results of the step were
+still being stored, and both results of each item were queued behind them. They went
+into one transaction, in which each row is written only if it is absent, and this held
+for both. Gateways that follow the changes received the row twice and listed the item
+twice; those that read the table received it once.
+
+Evidence: the engines' records show that the agent sent the same two items again 0.11 s
+after their first runs had ended. The positions are odd and two apart, as those of the
+second results of two pairs are. With the store's answers delayed as below, agents
+started each unit twice, the transaction held each item twice, and readers received it
+twice.
 """
 
 import asyncio
@@ -38,8 +39,8 @@
 )
 
 
-class Slow:
-    """A step of four units, of which the last two are claimed by late answers."""
+class SlowStoreStep:
+    """A step of four units; the claims of the last two are answered late."""
 
     def __init__(self):
         self.store = HeldAnswerTables()
@@ -53,11 +54,11 @@
 
     @property
     def waiting(self):
-        """Results that the store has not answered."""
+        """Number of results whose writes the store has not answered."""
         return sum(map(len, self.runner.result_writer.pending.values()))
 
     async def play(self):
-        """Play the step until every answer to a claim has come."""
+        """Run the step until all claims and results have been answered."""
         self.engine.may_finish.clear()
         await self.world.submit(groups=4, size=2)
         await wait_until(lambda: len(self.engine.running) == 4)
@@ -73,34 +74,34 @@
         self.store.release_answers(RESULTS)
 
 
-def test_a_late_answer_starts_no_unit_that_is_done():
+def test_late_answer_to_a_claim_does_not_restart_a_finished_unit():
     async def scenario():
-        slow = Slow()
-        await slow.play()
-        started = sorted(item for item, _ in slow.engine.started)
+        step = SlowStoreStep()
+        await step.play()
+        started = sorted(item for item, _ in step.engine.started)
         assert started == sorted(set(started)), "an item ran twice at one agent"
-        await slow.world.close()
+        await step.world.close()
 
     run_scenario(scenario)
 
 
-def test_each_item_stands_at_one_position():
+def test_each_item_is_listed_once_after_late_answers():
     async def scenario():
-        slow = Slow()
-        slow.world.follow()
-        await slow.play()
-        await wait_until(lambda: not slow.waiting)
-        results = await slow.world.results()
+        step = SlowStoreStep()
+        step.world.follow()
+        await step.play()
+        await wait_until(lambda: not step.waiting)
+        results = await step.world.results()
         items = [result.item for result in results]
-        assert sorted(items) == sorted(set(items)), "an item stands twice"
+        assert sorted(items) == sorted(set(items)), "an item is listed twice"
         assert len(items) == 8
-        await slow.world.close()
+        await step.world.close()
 
     run_scenario(scenario)
 
 
-def test_two_results_of_an_item_are_never_in_one_transaction():
-    class Watched(MemoryTables):
+def test_two_results_of_an_item_are_written_in_separate_transactions():
+    class RecordingTables(MemoryTables):
         def __init__(self):
             super().__init__()
             self.transactions = []
@@ -111,22 +112,25 @@
             return outcome
 
     async def scenario():
-        store = Watched()
+        store = RecordingTables()
         committer = ResultWriter(store, JobCluster().job_manager.clock)
         for text in ("one", "two"):
             result = Result("i", ResultState.WHOLE, text, (1,), "score")
             committer.enqueue(PendingResult("job", "unit", result))
         await committer.drain()
         for places in store.transactions:
-            assert len(places) == len(set(places)), "a row is written twice at once"
+            assert len(places) == len(set(places)), "a transaction writes a row twice"
         row = await store.read(RESULTS, "i", "job")
-        assert row.value["size"] == len("one"), "the first result stays"
+        assert row.value["size"] == len("one"), "the first result was replaced"
 
     run_scenario(scenario)
 
 
-def test_a_second_end_of_a_unit_goes_into_a_transaction_of_its_own():
-    """A row named twice ended the writer of a job; its results were not stored."""
+def test_two_final_claims_of_a_unit_are_written_in_separate_transactions():
+    """A transaction with a duplicate row failed and ended the job's writer task.
+
+    Its results were not stored.
+    """
 
     async def scenario():
         store = MemoryTables()
@@ -141,11 +145,11 @@
     run_scenario(scenario)
 
 
-def test_a_unit_that_comes_back_does_not_run_what_waits_for_the_store():
-    """A unit is given back and claimed again while a result of it is on its way.
+def test_reclaimed_unit_does_not_rerun_items_with_pending_results():
+    """A unit is released and claimed again while one of its results is being stored.
 
-    The agent asked the store which results exist. One of its own waited behind others
-    for an answer, so its item ran again, and both results were stored together.
+    The agent read the existing results from the store. One of its own results was
+    still pending, so its item ran again, and both results were stored together.
     """
 
     async def scenario():
@@ -177,11 +181,11 @@
     run_scenario(scenario)
 
 
-def test_items_without_a_result_begin_while_others_wait_for_the_store():
-    """Places of an engine stood empty for as long as the store took for one result.
+def test_reclaimed_unit_starts_unfinished_items_while_others_are_being_stored():
+    """Guards against engine slots that stay empty while a result is being stored.
 
-    A unit came back; one of its results was on its way, and its other item, which had
-    none, was not begun before that one was stored.
+    A unit was claimed again while one of its results was pending. Its other item, which
+    had no result, was started only after that result had been stored.
     """
 
     async def scenario():
@@ -208,10 +212,11 @@
     run_scenario(scenario)
 
 
-def test_a_unit_whose_results_all_wait_is_done_behind_them():
-    """An item was lost with its host: its unit was done in the store, it was not.
+def test_unit_is_marked_done_only_after_its_pending_results_are_stored():
+    """Guards against losing an item when its host fails.
 
-    The claim that says that a unit is done may be written only behind its results.
+    The unit was marked done in the store while the result of its item was not stored
+    yet. The claim that marks a unit done may be written only after the unit's results.
     """
 
     async def scenario():
@@ -239,13 +244,13 @@
     run_scenario(scenario)
 
 
-def test_a_transaction_that_names_a_row_twice_is_an_error_of_the_caller():
+def test_transaction_with_a_duplicate_row_raises_value_error():
     writes = [Write(RESULTS, "i", {"text": text}, ABSENT, part="job") for text in "ab"]
     with pytest.raises(ValueError, match="names a row twice: results/job/i"):
         asyncio.run(MemoryTables().commit(writes))
 
 
-def test_a_result_that_is_told_twice_at_once_is_listed_once():
+def test_result_row_that_arrives_twice_at_once_is_listed_once():
     log = ResultLog()
     value = to_row(Result("i", ResultState.WHOLE, size=3))
     row = Row(RESULTS, "i", 5, value, "job")
--- a/tests/test_resultlog.py
+++ b/tests/test_resultlog.py
@@ -1,4 +1,4 @@
-"""Positions of results are the same whatever order the rows come in."""
+"""The order of a job's results does not depend on the order in which rows arrive."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,7 +10,7 @@
 
 
 def rows(count):
-    """Return rows of which some share a transaction."""
+    """Return result rows, three per transaction."""
     found = []
     for number in range(count):
         item = f"i{(number * 7) % 100:02d}"
@@ -20,7 +20,7 @@
 
 
 @given(st.permutations(rows(12)), st.integers(0, 12))
-def test_two_sources_that_overlap_give_one_order(shuffled, cut):
+def test_rows_added_in_any_order_give_the_same_positions(shuffled, cut):
     one, other = ResultLog(), ResultLog()
     one.add_rows(shuffled[:cut])
     one.add_rows(shuffled)
@@ -29,11 +29,11 @@
 
 
 @given(st.lists(st.integers(1, 4), min_size=1, max_size=6))
-def test_a_position_that_was_read_never_moves(batches):
+def test_positions_stay_when_later_transactions_are_added(batches):
     log, read = ResultLog(), []
     every = sorted(rows(24), key=lambda row: (row.version, row.key))
     for size in batches:
-        # A watch gives whole transactions, oldest first.
+        # A watch delivers complete transactions, oldest first.
         until = every[min(size * 3 + len(read), 24) - 1].version
         log.add_rows([row for row in every if row.version <= until])
         page = log.page(0, 10**6)
@@ -41,7 +41,7 @@
         read = page
 
 
-def test_a_page_holds_one_result_whatever_its_size():
+def test_page_contains_one_result_even_if_it_exceeds_the_limit():
     log = ResultLog()
     log.add_rows(rows(3))
     assert len(log.page(0, 1)) == 1
