--- a/gypsumshift/jobs/records.py
+++ b/gypsumshift/jobs/records.py
@@ -1,7 +1,7 @@
-"""Model: what a batch job is made of, and how its parts lie in the store.
+"""Records of batch jobs and their mapping to rows of the store.
 
-All rows of a job share one part of the store, named by the job's id, so that they
-can be written in one transaction.
+All rows of a job are in one partition of the store, named by the job's id, so that
+they can be written in one transaction.
 """
 
 import base64
@@ -46,7 +46,7 @@
     "to_row",
 ]
 
-# Tables.
+# Table names.
 JOBS = "jobs"
 UNITS = "units"
 CLAIMS = "claims"
@@ -54,9 +54,9 @@
 PARTIALS = "partials"
 TEXTS = "texts"
 AGENTS = "agents"
-# Those with a part for each job, in the order in which an old job is removed.
+# Tables with a partition for each job, in the order in which a job's rows are removed.
 JOB_TABLES = (TEXTS, PARTIALS, CLAIMS, RESULTS, UNITS, JOBS)
-# Keys in the table of jobs.
+# Row keys in the job table.
 JOB_KEY = "job"
 END_KEY = "end"
 
@@ -64,11 +64,11 @@
 
 
 class InvalidRowError(ValueError):
-    """A row is not of the kind that its table holds: another writer put it there."""
+    """A row does not hold the record type of its table; another writer stored it."""
 
 
 class ResultState(enum.Enum):
-    """How an item ended."""
+    """Final state of an item."""
 
     WHOLE = "whole"
     GIVEN_UP = "given up"
@@ -76,7 +76,7 @@
 
 @attrs.frozen
 class RewardCall:
-    """The reward call of an item.
+    """The request to the reward service that scores an item.
 
     Attributes
     ----------
@@ -101,11 +101,11 @@
         Passed on to the model engine.
     body : bytes
     group : str
-        Items of one group share their prompt; empty outside of groups.
+        Name of the item's group, whose items share a prompt; empty for none.
     hint : int
-        Estimated number of output tokens; 0 for unknown.
+        Estimated number of output tokens; 0 if unknown.
     memory : int
-        Tokens of an engine's memory that it is estimated to take at its end.
+        Estimated engine memory that the item uses at its end, in tokens.
     reward : RewardCall or None
     """
 
@@ -120,13 +120,13 @@
 
     @property
     def body_bytes(self) -> int:
-        """Bytes of its bodies."""
+        """Total size of the request and reward call bodies, in bytes."""
         return len(self.body) + (len(self.reward.body) if self.reward else 0)
 
 
 @attrs.frozen
 class Unit:
-    """Items of one group that one agent runs together.
+    """Items of one group that one agent claims and runs together.
 
     Attributes
     ----------
@@ -140,17 +140,17 @@
 
 @attrs.frozen
 class UnitSummary:
-    """What is known of a unit without its bodies.
+    """Description of a unit without the bodies of its items.
 
     Attributes
     ----------
     key, group : str
     items : tuple of str
-        Ids.
+        Item ids.
     hint : int
-        The longest estimate among the items, in output tokens.
+        Largest estimate among the items, in output tokens.
     memory : int
-        Tokens of an engine's memory that the largest is estimated to take.
+        Largest estimated engine memory among the items, in tokens.
     """
 
     key: str
@@ -162,26 +162,26 @@
 
 @attrs.frozen
 class Job:
-    """One batch job as accepted.
+    """An accepted batch job.
 
     Attributes
     ----------
     id : str
     host, path : str
-        Where it was submitted; they select its route.
+        Host and path of the submission, which select the job's route.
     model : str
-        Empty where it is for no trainer.
+        Model of the trainer; empty if the job is not part of a training run.
     step : int
-        Of the trainer; -1 where it is for no trainer.
+        Step of the trainer; -1 if the job is not part of a training run.
     oldest_version : int
-        Oldest weight version that may generate its tokens.
+        Oldest weight version that may generate tokens of the job.
     submitted : float
-        Store time in seconds.
+        Time of submission by the store's clock, in seconds.
     units : tuple of UnitSummary
     groups_needed : int
-        Whole groups that its trainer waits for; 0 for all.
+        Number of complete groups that the trainer waits for; 0 for all.
     workspace : str
-        For which its items run; empty for none.
+        Workspace on whose behalf the items run; empty for none.
     """
 
     id: str
@@ -208,22 +208,23 @@
 
 @attrs.frozen
 class Result:
-    """The end of one item.
+    """The final result of an item.
 
     Attributes
     ----------
     item : str
+        Id of the item.
     state : ResultState
     text : str
         Data of all events in order, separated by line feeds.
     versions : tuple of int
-        Weight versions that generated an event of the text.
+        Weight versions that generated events of the text.
     score : str
-        Signature of the reward call's answer.
+        Signature of the response to the reward call.
     pieces : int
-        Rows that hold the text, where the result stands without it.
+        Number of rows that hold the text, if it is stored apart from the result.
     size : int
-        Characters of the text.
+        Length of the text in characters.
     """
 
     item: str
@@ -237,14 +238,16 @@
 
 @attrs.frozen
 class Partial:
-    """Events of an item that was handed over before its end.
+    """The partial result of an unfinished item.
 
     Attributes
     ----------
     item : str
+        Id of the item.
     events : tuple of str
-        Data of the events 1, 2, and so on.
+        Data of the events, which are numbered from 1.
     versions : tuple of int
+        Weight versions that generated the events.
     """
 
     item: str
@@ -254,14 +257,14 @@
 
 @attrs.frozen
 class Claim:
-    """Who runs a unit.
+    """The claim of an agent to a unit.
 
     Attributes
     ----------
     agent : str
-        Name; empty where it was given back.
+        Name of the agent; empty if the unit was released.
     session : str
-        Start of that agent, which ends with its process.
+        Identifies the start of the agent; each process has its own.
     done : bool
         Whether all items of the unit have results.
     """
@@ -273,26 +276,27 @@
 
 @attrs.frozen
 class Heartbeat:
-    """What an agent writes of itself, each 0.4 s or less often in large fleets.
+    """Status that an agent stores every 0.4 s, or less often in large fleets.
 
     Attributes
     ----------
     session : str
-        Start of the agent.
+        Identifies the start of the agent.
     beat : int
-        Number of the heartbeat, from 1.
+        Number of the heartbeat, counted from 1.
     pace : float
-        Seconds between two events at its engine now; 0 for unknown.
+        Current interval between two events of a stream at the agent's engine, in
+        seconds; 0 if unknown.
     usual : float
-        The same at its best of the last seconds; see `Pace.usual`.
+        Shortest such interval of the last seconds; see `Pace.usual`.
     engine : str
-        Id of the engine beside it; empty where none was listed.
+        Id of the agent's engine; empty if none is listed.
     born : int
         Start of that engine; see `ServerStart`.
     places : int
-        Items that the engine could take at once.
+        Number of further items that the engine could take now.
     home : str
-        Model that the engine is set to serve; empty for none, or for several.
+        Model that the engine is configured to serve; empty for none or several.
     """
 
     session: str
@@ -306,11 +310,11 @@
 
     @property
     def server_start(self) -> ServerStart:
-        """Start of the engine of which this tells."""
+        """Start of the engine that the heartbeat describes."""
         return ServerStart(self.engine, self.born)
 
 
-# What `cattrs` raises for a value that is not of the kind asked for.
+# Errors that `cattrs` raises for a value that does not match the requested type.
 CONVERSION_ERRORS = (
     cattrs.BaseValidationError,
     AttributeError,
@@ -324,37 +328,42 @@
 
 
 def to_row(value: object) -> dict:
-    """Return a value as a row of the store holds it."""
+    """Convert a record to the value of a store row."""
     return converter.unstructure(value)
 
 
 def from_row(row: dict, kind: type):
-    """Return a value of ``kind`` from a row of the store; raises `ForeignRow`."""
+    """Convert the value of a store row to a record of type ``kind``.
+
+    Raises
+    ------
+    InvalidRowError
+    """
     try:
         return converter.structure(row, kind)
     except CONVERSION_ERRORS as error:
-        raise InvalidRowError(f"no {kind.__name__}: {error!r}") from error
+        raise InvalidRowError(f"not a valid {kind.__name__}: {error!r}") from error
 
 
 def qualified_job_id(workspace: str, submitted: str) -> str:
-    """Return the id under which a batch job is kept.
+    """Return the id under which a batch job is stored, qualified by its workspace.
 
-    Each workspace has ids of its own: to others, its jobs are not there, and neither
-    can take an id from the other.
+    Each workspace has its own namespace of ids: its jobs do not exist for others, and
+    two workspaces can use the same id.
 
     Parameters
     ----------
     workspace : str
         Empty for none.
     submitted : str
-        Id that the submitter gave it.
+        Id given by the submitter.
     """
     parts = (workspace, submitted) if workspace else (submitted,)
     return "/".join(urllib.parse.quote(part, safe="") for part in parts)
 
 
 def parse_rows(rows: Iterable[Row], kind: type) -> Iterator[tuple[Row, object]]:
-    """Yield rows with their values; those that are not of the kind are left out."""
+    """Yield rows with their records; rows of another type are logged and skipped."""
     for row in rows:
         value = parse_row(row, kind)
         if value is not None:
@@ -362,16 +371,16 @@
 
 
 def parse_row(row: Row, kind: type):
-    """Return the value of a row; None, with a log line, where it is not of the kind."""
+    """Return the record of a row; log an error and return None for another type."""
     try:
         return from_row(row.value, kind)
     except InvalidRowError as error:
-        log.error("Cannot read {}/{}/{}: {}", row.table, row.part, row.key, error)
+        log.error("Skipping row {}/{}/{}: {}", row.table, row.part, row.key, error)
         return None
 
 
 def summarize_unit(unit: Unit) -> UnitSummary:
-    """Return what is known of a unit without its bodies."""
+    """Return the summary of a unit."""
     ids = tuple(item.id for item in unit.items)
     hint = max(item.hint for item in unit.items)
     memory = max(item.memory for item in unit.items)
--- a/tests/job_builders.py
+++ b/tests/job_builders.py
@@ -1,4 +1,4 @@
-"""Builders for tests of batch jobs: engines without a network, jobs, agents."""
+"""Builders for tests of batch jobs: jobs, agents, and engines without a network."""
 
 import asyncio
 import random
@@ -73,7 +73,7 @@
 
 
 def items(groups=2, size=2, step="s", body=None):
-    """Return the items of a step."""
+    """Return items with reward calls, in some groups of equal size."""
     found = []
     for group in range(groups):
         for number in range(size):
@@ -85,7 +85,7 @@
 
 
 def job(units, job_id="job", model=MODEL, oldest_version=1):
-    """Return a batch job of units."""
+    """Return a batch job that consists of the given units."""
     summaries = tuple(summarize_unit(unit) for unit in units)
     return Job(job_id, HOST, "/run/", model, 0, oldest_version, 0.0, summaries)
 
@@ -100,7 +100,7 @@
 
 
 def routes(version=1, one_version=False, attempts=3, retention=None):
-    """Return a configuration with one route for items and one for scores."""
+    """Return a route table with a route for items and one for reward calls."""
     run = Route(
         "run",
         HOST,
@@ -123,29 +123,29 @@
 
 
 class FakeEngine:
-    """Engine that generates by a script.
+    """Engine client that generates a fixed number of events without a network.
 
     Attributes
     ----------
     length : int
-        Events of an item.
+        Number of events of an item.
     gap : float
         Seconds between two events.
-    hold : asyncio.Event
+    may_finish : asyncio.Event
         Streams wait for it before their last event.
     started : list
-        Item and number of the event behind which each stream began.
+        For each stream, the item id and the number of the event after which it began.
     running : set
-        Items at the engine now.
+        Ids of the items that are running.
     replaced : set of str
-        Ids of servers that are not at the address any more.
+        Ids of servers that are no longer at their address.
     break_at : dict
-        By item, the event behind which its next stream breaks.
+        Number of the event after which the next stream of an item breaks, by item id.
     busy : bool
-        Whether an order is being carried out, once it was given.
+        Whether an order, once received, is still being carried out.
     """
 
-    # Asked only behind connections that were closed, of which there are none here.
+    # Used only after connections were closed, which does not happen here.
     fetcher = None
 
     def __init__(self, length=3):
@@ -198,7 +198,7 @@
 
 
 class FakeForwarder:
-    """Forwarder whose reward calls are answered by a script, once ``hold`` is set."""
+    """Forwarder that answers with ``statuses`` in turn, once ``may_answer`` is set."""
 
     def __init__(self):
         self.calls = []
@@ -216,12 +216,12 @@
 
 
 class HeldAnswerTables(memory.MemoryTables):
-    """Tables that carry writes out at once, and answer some of them when told to.
+    """Tables that carry out writes at once and can hold back the answers.
 
     Attributes
     ----------
-    held : dict
-        Event that the answers of writes to a table wait for, by table.
+    held_tables : dict
+        Event that answers to writes wait for, by table.
     """
 
     def __init__(self):
@@ -243,7 +243,7 @@
 
 
 class ScriptedLivenessProbe(LivenessProbe):
-    """Presence by a script: the agents that work, and who was asked."""
+    """Presence with a fixed set of working agents; records the agents checked."""
 
     def __init__(self, *working):
         self.working = set(working)
@@ -256,7 +256,7 @@
 
 @attrs.define
 class JobCluster:
-    """A store, a desk and agents over it."""
+    """A store with a job manager and agents that use it."""
 
     store: memory.MemoryTables = attrs.field(factory=memory.MemoryTables)
     tasks: list = attrs.field(factory=list)
@@ -275,7 +275,7 @@
         forwarder=None,
         clock=None,
     ):
-        """Start an agent beside an engine."""
+        """Start an agent with an engine."""
         directory = Directory()
         directory.set_routes(routes())
         directory.set_server(server(f"e-{name}"))
@@ -297,7 +297,7 @@
         return agent
 
     async def submit(self, job_id="job", hints=None, body=None, **shape):
-        """Submit a step, of which some items have other estimates; return its units."""
+        """Submit a job and return its units; ``hints`` overrides estimates by item."""
         hints = hints or {}
         found = [
             attrs.evolve(item, hint=hints.get(item.id, item.hint))
@@ -310,10 +310,10 @@
         return units
 
     async def results(self, job_id="job", count=None):
-        """Wait until so many results of a job stand, and return them.
+        """Wait until a job has ``count`` results, by default all, and return them.
 
-        Read on from the last position, as trainers do: the desk of this world does not
-        follow the store, and reads it only for positions that it does not know.
+        Each read starts at the position after the last result, as trainers do: this job
+        manager does not follow the store and reads it only for unknown positions.
         """
         found = []
         while True:
@@ -324,7 +324,7 @@
             await asyncio.sleep(0.01)
 
     def follow(self):
-        """Have the desk follow the store's changes, as a gateway does."""
+        """Let the job manager follow the store's changes, as a gateway does."""
         self.tasks.append(asyncio.create_task(run_all(self.job_manager.watches)))
 
     async def close(self):
@@ -338,7 +338,7 @@
 
 
 def engine_table_entry(**changes):
-    """Return what an engine writes of itself into the platform's table."""
+    """Return an engine's entry in the platform's table of servers."""
     fields = {
         "service": SERVICE,
         "addr": "10.0.0.1:8600",
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -1,4 +1,4 @@
-"""How a step is cut and ordered, played against engines of a few places each."""
+"""Splitting and ordering of a step's items, simulated on engines with a few slots."""
 
 import heapq
 import random
@@ -13,7 +13,7 @@
 from tests.builders import ManualClock
 from tests.job_builders import MODEL, claim_row, items, job, job_row, make_tracker
 
-# Seconds for one event, and the most events of an item.
+# Seconds per event, and the largest number of events of an item.
 EVENT = 0.05
 MOST_EVENTS = 120
 ENGINES = 7
@@ -21,7 +21,7 @@
 
 
 def step(seed, groups=9, size=16):
-    """Return the items of a step and their true lengths, in events."""
+    """Return the items of a step and their actual lengths, in events by item id."""
     chance = random.Random(seed)
     found, lengths = [], {}
     for item in items(groups, size):
@@ -34,9 +34,10 @@
 
 
 def play(units, order, lengths):
-    """Return when each item ends, with engines that take units as they have room.
+    """Simulate engines that claim units while they have free slots.
 
-    As in `ClaimBoard.choose`, an engine takes any of the next units.
+    As in `ClaimBoard.choose`, an engine claims a random one of the next units. Returns
+    the end time of each item.
     """
     chance = random.Random(1)
     waiting = list(order)
@@ -64,8 +65,8 @@
     return ends
 
 
-def test_a_step_takes_little_longer_than_its_longest_item():
-    """With units of 8 by their longest estimate: 1.26 times, at most 1.41."""
+def test_step_takes_little_longer_than_its_longest_item():
+    """With units of 8 items, steps took 1.26 times as long on average, at most 1.41."""
     ratios = []
     for seed in range(20):
         found, lengths = step(seed)
@@ -76,7 +77,7 @@
     assert max(ratios) < 1.1
 
 
-def test_units_hold_items_of_one_group_and_about_one_length():
+def test_units_hold_items_of_one_group_sorted_by_estimate():
     found, _ = step(1)
     units = split_into_units(found)
     assert sorted(i.id for u in units for i in u.items) == sorted(i.id for i in found)
@@ -88,11 +89,11 @@
         assert hints == sorted(hints, reverse=True)
 
 
-def test_a_job_without_items_has_no_units():
+def test_job_without_items_has_no_units():
     assert split_into_units([]) == []
 
 
-def test_groups_that_the_trainer_does_not_wait_for_come_last():
+def test_groups_that_are_not_needed_come_last():
     found = [
         Item(f"{group}-{n}", "/run/", {}, b"", group, hint)
         for group, hint in (("a", 10), ("b", 90), ("c", 20))
@@ -105,7 +106,7 @@
     assert [unit.group for unit in order] == ["b", "c", "a"]
 
 
-def test_a_group_that_came_again_counts_among_those_waited_for():
+def test_group_of_an_earlier_job_counts_as_needed_and_comes_first():
     units = split_into_units(
         [Item(g, "/run/", {}, b"", g, 10) for g in ("a", "b", "c")]
     )
@@ -113,22 +114,23 @@
     assert [unit.group for unit in order] == ["c", "a", "b"]
 
 
-# Seconds for one event at each of two engines, of 16 places, and between two looks.
+# Seconds per event at each of two engines, their slots, and the seconds in which each
+# engine tries ten times to claim a unit.
 UNEVEN = (0.038, 0.049)
 UNEVEN_PLACES = 16
 LOOK = 0.05
 
 
 def play_uneven(units, lengths, aware):
-    """Return when a step ends at two engines, of which one is built slower.
+    """Simulate a step on two engines of different speed; return its duration.
 
     Parameters
     ----------
     units : list of Unit
     lengths : dict
-        Events by item.
+        Number of events by item id.
     aware : bool
-        Whether the slower one knows that it is.
+        Whether the slower engine takes its speed into account when it claims units.
     """
     clock = ManualClock()
     own = make_tracker(clock=clock)
@@ -156,8 +158,8 @@
     return max(ends[0] + ends[1]) - start
 
 
-def test_long_items_run_at_the_faster_of_two_engines():
-    """Where the slower one took any unit, steps took 1.2 times as long."""
+def test_long_items_run_on_the_faster_of_two_engines():
+    """When the slower engine claimed any unit, steps took 1.2 times as long."""
     plain_times, aware_times = [], []
     for seed in range(20):
         found, lengths = step(seed, groups=9, size=4)
