--- a/gypsumshift/jobs/resultwriter.py
+++ b/gypsumshift/jobs/resultwriter.py
@@ -43,10 +43,8 @@
 
     Attributes
     ----------
-    job : str
-        Id of the job.
-    unit : str
-        Key of the unit.
+    job_id : str
+    unit_key : str
     result : Result
     final_claim : Claim or None
         Claim to write in the same transaction if this is the last result of its unit.
@@ -54,8 +52,8 @@
         Key of the item's saved partial result, which is deleted; empty if none exists.
     """
 
-    job: str
-    unit: str
+    job_id: str
+    unit_key: str
     result: Result
     final_claim: Claim | None = None
     partial_key: str = ""
@@ -82,56 +80,61 @@
         self.writer_tasks: dict[str, asyncio.Task] = {}
         self.batch_stored = asyncio.Event()
 
-    def enqueue(self, finished: PendingResult) -> None:
+    def enqueue(self, pending_result: PendingResult) -> None:
         """Queue a result for its job's writer task, which is started if none runs."""
-        self.pending.setdefault(finished.job, []).append(finished)
-        if finished.job not in self.writer_tasks:
-            task = asyncio.create_task(self.write_pending(finished.job))
-            self.writer_tasks[finished.job] = task
+        self.pending.setdefault(pending_result.job_id, []).append(pending_result)
+        if pending_result.job_id not in self.writer_tasks:
+            task = asyncio.create_task(self.write_pending(pending_result.job_id))
+            self.writer_tasks[pending_result.job_id] = task
 
-    def pending_items(self, job: str) -> set[str]:
+    def pending_items(self, job_id: str) -> set[str]:
         """Return the ids of a job's items whose results are not stored yet."""
-        return {finished.result.item for finished in self.pending.get(job, ())}
+        return {
+            pending_result.result.item
+            for pending_result in self.pending.get(job_id, ())
+        }
 
-    async def wait_until_stored(self, job: str, items: Collection[str]) -> None:
+    async def wait_until_stored(self, job_id: str, items: Collection[str]) -> None:
         """Wait until no result of the given items is pending."""
-        while not self.pending_items(job).isdisjoint(items):
+        while not self.pending_items(job_id).isdisjoint(items):
             await self.batch_stored.wait()
 
-    async def write_pending(self, job: str) -> None:
+    async def write_pending(self, job_id: str) -> None:
         """Store the results of one job until none is pending."""
         try:
             await self.clock.sleep(GATHER_SECONDS)
-            while self.pending.get(job):
-                batch = first_batch(self.pending[job])
-                await self.store_batch(job, batch)
-                del self.pending[job][: len(batch)]
+            while self.pending.get(job_id):
+                batch = first_batch(self.pending[job_id])
+                await self.store_batch(job_id, batch)
+                del self.pending[job_id][: len(batch)]
                 self.batch_stored.set()
                 self.batch_stored = asyncio.Event()
         finally:
-            del self.writer_tasks[job]
-            if not self.pending.get(job):
-                self.pending.pop(job, None)
+            del self.writer_tasks[job_id]
+            if not self.pending.get(job_id):
+                self.pending.pop(job_id, None)
 
-    async def store_batch(self, job: str, batch: list[PendingResult]) -> None:
+    async def store_batch(self, job_id: str, batch: list[PendingResult]) -> None:
         """Store a batch of results; rows that exist already are left unchanged."""
-        outcome = await self.commit_until_certain(job, batch)
+        outcome = await self.commit_until_certain(job_id, batch)
         if isinstance(outcome, Conflict) and len(batch) > 1:
-            for finished in batch:
-                await self.commit_until_certain(job, [finished])
+            for pending_result in batch:
+                await self.commit_until_certain(job_id, [pending_result])
         logs.event(
             log,
             "Results are stored.",
-            job=job,
-            items=[finished.result.item for finished in batch],
-            states=[finished.result.state.value for finished in batch],
+            job=job_id,
+            items=[pending_result.result.item for pending_result in batch],
+            states=[pending_result.result.state.value for pending_result in batch],
             outcome=type(outcome).__name__,
             store_version=getattr(outcome, "version", 0),
         )
 
-    async def commit_until_certain(self, job: str, batch: list[PendingResult]):
+    async def commit_until_certain(self, job_id: str, batch: list[PendingResult]):
         """Retry a transaction until it is committed or conflicts with existing rows."""
-        writes = [write for finished in batch for write in result_writes(finished)]
+        writes = [
+            write for pending_result in batch for write in result_writes(pending_result)
+        ]
         pause = FIRST_RETRY_SECONDS
         while True:
             outcome = await self.store.commit(writes)
@@ -139,8 +142,8 @@
                 return outcome
             logs.event(
                 log,
-                "Storing results failed; retrying after a delay.",
-                job=job,
+                "A write of results failed or was not confirmed; retrying.",
+                job=job_id,
                 items=len(batch),
                 reason=outcome.reason,
             )
@@ -164,18 +167,18 @@
     """
     size = 0
     used_rows: set[tuple[str, str]] = set()
-    for count, finished in enumerate(waiting[:MAX_TRANSACTION_RESULTS]):
-        size += len(finished.result.text)
-        rows = {(RESULTS, finished.result.item)}
-        if finished.final_claim is not None:
-            rows.add((CLAIMS, finished.unit))
+    for count, pending_result in enumerate(waiting[:MAX_TRANSACTION_RESULTS]):
+        size += len(pending_result.result.text)
+        rows = {(RESULTS, pending_result.result.item)}
+        if pending_result.final_claim is not None:
+            rows.add((CLAIMS, pending_result.unit_key))
         if count and size > MAX_TRANSACTION_TEXT_CHARS or rows & used_rows:
             return waiting[:count]
         used_rows |= rows
     return waiting[:MAX_TRANSACTION_RESULTS]
 
 
-def result_writes(finished: PendingResult) -> list[Write]:
+def result_writes(pending_result: PendingResult) -> list[Write]:
     """Return the writes that store one result.
 
     The text is stored in separate rows, which are read only on request. Every gateway
@@ -183,7 +186,7 @@
     saturated the links of the smallest hosts (0.53 GB a minute to 41 hosts, some with
     30 Mbit/s).
     """
-    result, part = finished.result, finished.job
+    result, part = pending_result.result, pending_result.job_id
     text = result.text
     starts = range(0, len(text), MAX_ROW_TEXT_CHARS)
     writes = []
@@ -193,9 +196,9 @@
         writes.append(Write(TEXTS, key, piece, ABSENT, part=part))
     result_row = attrs.evolve(result, text="", pieces=len(starts), size=len(text))
     writes.append(Write(RESULTS, result.item, to_row(result_row), ABSENT, part=part))
-    if finished.partial_key:
-        writes.append(Write(PARTIALS, finished.partial_key, None, part=part))
-    if finished.final_claim is not None:
-        claim = to_row(finished.final_claim)
-        writes.append(Write(CLAIMS, finished.unit, claim, part=part))
+    if pending_result.partial_key:
+        writes.append(Write(PARTIALS, pending_result.partial_key, None, part=part))
+    if pending_result.final_claim is not None:
+        claim = to_row(pending_result.final_claim)
+        writes.append(Write(CLAIMS, pending_result.unit_key, claim, part=part))
     return writes
--- a/tests/test_late_answers.py
+++ b/tests/test_late_answers.py
@@ -44,29 +44,29 @@
 
     def __init__(self):
         self.store = HeldAnswerTables()
-        self.world = JobCluster(store=self.store)
+        self.cluster = JobCluster(store=self.store)
         self.engine = FakeEngine()
-        self.agent = self.world.agent(engine=self.engine)
+        self.agent = self.cluster.agent(engine=self.engine)
 
     @property
     def runner(self):
         return self.agent.runner
 
     @property
-    def waiting(self):
+    def pending_count(self):
         """Number of results whose writes the store has not answered."""
         return sum(map(len, self.runner.result_writer.pending.values()))
 
-    async def play(self):
+    async def run(self):
         """Run the step until all claims and results have been answered."""
         self.engine.may_finish.clear()
-        await self.world.submit(groups=4, size=2)
+        await self.cluster.submit(groups=4, size=2)
         await wait_until(lambda: len(self.engine.running) == 4)
         await wait_until(lambda: not self.agent.tracker.pending_claims)
         self.store.hold_answers(CLAIMS)
         self.store.hold_answers(RESULTS)
         self.engine.may_finish.set()
-        await wait_until(lambda: self.waiting == 8)
+        await wait_until(lambda: self.pending_count == 8)
         self.store.release_answers(CLAIMS)
         await wait_until(
             lambda: not self.agent.tracker.pending_claims and not self.runner.units
@@ -77,10 +77,10 @@
 def test_late_answer_to_a_claim_does_not_restart_a_finished_unit():
     async def scenario():
         step = SlowStoreStep()
-        await step.play()
+        await step.run()
         started = sorted(item for item, _ in step.engine.started)
         assert started == sorted(set(started)), "an item ran twice at one agent"
-        await step.world.close()
+        await step.cluster.close()
 
     run_scenario(scenario)
 
@@ -88,14 +88,14 @@
 def test_each_item_is_listed_once_after_late_answers():
     async def scenario():
         step = SlowStoreStep()
-        step.world.follow()
-        await step.play()
-        await wait_until(lambda: not step.waiting)
-        results = await step.world.results()
+        step.cluster.follow()
+        await step.run()
+        await wait_until(lambda: not step.pending_count)
+        results = await step.cluster.results()
         items = [result.item for result in results]
         assert sorted(items) == sorted(set(items)), "an item is listed twice"
         assert len(items) == 8
-        await step.world.close()
+        await step.cluster.close()
 
     run_scenario(scenario)
 
@@ -113,11 +113,11 @@
 
     async def scenario():
         store = RecordingTables()
-        committer = ResultWriter(store, JobCluster().job_manager.clock)
+        writer = ResultWriter(store, JobCluster().job_manager.clock)
         for text in ("one", "two"):
             result = Result("i", ResultState.WHOLE, text, (1,), "score")
-            committer.enqueue(PendingResult("job", "unit", result))
-        await committer.drain()
+            writer.enqueue(PendingResult("job", "unit", result))
+        await writer.drain()
         for places in store.transactions:
             assert len(places) == len(set(places)), "a transaction writes a row twice"
         row = await store.read(RESULTS, "i", "job")
@@ -134,12 +134,12 @@
 
     async def scenario():
         store = MemoryTables()
-        committer = ResultWriter(store, JobCluster().job_manager.clock)
+        writer = ResultWriter(store, JobCluster().job_manager.clock)
         done = Claim("a", "s", True)
         for item in "ij":
             result = Result(item, ResultState.WHOLE, "text", (1,), "score")
-            committer.enqueue(PendingResult("job", "unit", result, done))
-        await committer.drain()
+            writer.enqueue(PendingResult("job", "unit", result, done))
+        await writer.drain()
         assert {place[2] for place in store.rows if place[0] == RESULTS} == {"i", "j"}
 
     run_scenario(scenario)
@@ -154,16 +154,16 @@
 
     async def scenario():
         store = HeldAnswerTables()
-        world = JobCluster(store=store)
-        world.follow()
+        cluster = JobCluster(store=store)
+        cluster.follow()
         engine = BlockingEngine("job-1-0", "job-1-1")
-        agent = world.agent(engine=engine)
-        committer = agent.runner.result_writer
+        agent = cluster.agent(engine=engine)
+        writer = agent.runner.result_writer
         store.hold_answers(RESULTS)
-        units = await world.submit(groups=2, size=2)
+        units = await cluster.submit(groups=2, size=2)
         await wait_until(lambda: ("results", "job", "job-0-0") in store.rows)
         engine.stuck["job-1-0"].set()
-        await wait_until(lambda: len(committer.pending["job"]) == 3)
+        await wait_until(lambda: len(writer.pending["job"]) == 3)
         first = agent.runner.units["job", units[1].key]
         agent.runner.hand_over_unit(first, "the engine is slow")
         await wait_until(
@@ -172,11 +172,11 @@
         await run_loop_turns()
         engine.stuck["job-1-1"].set()
         store.release_answers(RESULTS)
-        results = await world.results()
+        results = await cluster.results()
         assert [item for item, _ in engine.started].count("job-1-0") == 1
         items = [result.item for result in results]
         assert sorted(items) == sorted(item.id for u in units for item in u.items)
-        await world.close()
+        await cluster.close()
 
     run_scenario(scenario)
 
@@ -190,24 +190,24 @@
 
     async def scenario():
         store = HeldAnswerTables()
-        world = JobCluster(store=store)
+        cluster = JobCluster(store=store)
         engine = BlockingEngine("job-0-1")
-        agent = world.agent(engine=engine)
-        committer = agent.runner.result_writer
+        agent = cluster.agent(engine=engine)
+        writer = agent.runner.result_writer
         store.hold_answers(RESULTS)
-        (unit,) = await world.submit(groups=1, size=2)
-        await wait_until(lambda: committer.pending.get("job"))
+        (unit,) = await cluster.submit(groups=1, size=2)
+        await wait_until(lambda: writer.pending.get("job"))
         agent.runner.hand_over_all("the engine is slow")
         engine.stuck["job-0-1"].set()
         await wait_until(lambda: ("job-0-1", 0) in engine.started)
-        await wait_until(lambda: len(committer.pending["job"]) == 2)
+        await wait_until(lambda: len(writer.pending["job"]) == 2)
         assert "done" not in store.rows["claims", "job", unit.key].value
         store.release_answers(RESULTS)
         await wait_until(
             lambda: store.rows["claims", "job", unit.key].value.get("done")
         )
         assert [item for item, _ in engine.started].count("job-0-0") == 1
-        await world.close()
+        await cluster.close()
 
     run_scenario(scenario)
 
@@ -221,14 +221,14 @@
 
     async def scenario():
         store = HeldAnswerTables()
-        world = JobCluster(store=store)
-        agent = world.agent(engine=FakeEngine())
+        cluster = JobCluster(store=store)
+        agent = cluster.agent(engine=FakeEngine())
         store.hold_answers(RESULTS)
-        (unit,) = await world.submit(groups=1, size=1)
+        (unit,) = await cluster.submit(groups=1, size=1)
         await wait_until(lambda: agent.runner.result_writer.pending.get("job"))
-        finished = agent.runner.result_writer.pending["job"][0]
+        pending_result = agent.runner.result_writer.pending["job"][0]
         agent.runner.result_writer.pending["job"][0] = attrs.evolve(
-            finished, final_claim=None
+            pending_result, final_claim=None
         )
         free = Write(CLAIMS, unit.key, {}, part="job")
         await MemoryTables.commit(store, [free])
@@ -239,7 +239,7 @@
         await wait_until(
             lambda: store.rows["claims", "job", unit.key].value.get("done")
         )
-        await world.close()
+        await cluster.close()
 
     run_scenario(scenario)
 
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -17,10 +17,10 @@
 EVENT = 0.05
 MOST_EVENTS = 120
 ENGINES = 7
-PLACES = 8
+SLOTS = 8
 
 
-def step(seed, groups=9, size=16):
+def make_step(seed, groups=9, size=16):
     """Return the items of a step and their actual lengths, in events by item id."""
     chance = random.Random(seed)
     found, lengths = [], {}
@@ -33,7 +33,7 @@
     return found, lengths
 
 
-def play(units, order, lengths):
+def simulate_step(units, order, lengths):
     """Simulate engines that claim units while they have free slots.
 
     As in `ClaimBoard.choose`, an engine claims a random one of the next units. Returns
@@ -43,12 +43,12 @@
     waiting = list(order)
     by_key = {unit.key: unit for unit in units}
     queues = [[] for _ in range(ENGINES)]
-    places = [(0.0, engine) for engine in range(ENGINES) for _ in range(PLACES)]
-    heapq.heapify(places)
+    slots = [(0.0, engine) for engine in range(ENGINES) for _ in range(SLOTS)]
+    heapq.heapify(slots)
     free = [0] * ENGINES
     ends = {}
-    while places:
-        now, engine = heapq.heappop(places)
+    while slots:
+        now, engine = heapq.heappop(slots)
         free[engine] += 1
         room = free[engine] - len(queues[engine])
         fitting = [unit for unit in waiting if len(unit.items) <= room]
@@ -60,7 +60,7 @@
             item = queues[engine].pop(0)
             free[engine] -= 1
             ends[item] = now + lengths[item] * EVENT
-            heapq.heappush(places, (ends[item], engine))
+            heapq.heappush(slots, (ends[item], engine))
     assert not waiting
     return ends
 
@@ -69,16 +69,16 @@
     """With units of 8 items, steps took 1.26 times as long on average, at most 1.41."""
     ratios = []
     for seed in range(20):
-        found, lengths = step(seed)
+        found, lengths = make_step(seed)
         units = split_into_units(found)
-        ends = play(units, order_units(job(units), set()), lengths)
+        ends = simulate_step(units, order_units(job(units), set()), lengths)
         ratios.append(max(ends.values()) / (max(lengths.values()) * EVENT))
     assert sum(ratios) / len(ratios) < 1.02
     assert max(ratios) < 1.1
 
 
 def test_units_hold_items_of_one_group_sorted_by_estimate():
-    found, _ = step(1)
+    found, _ = make_step(1)
     units = split_into_units(found)
     assert sorted(i.id for u in units for i in u.items) == sorted(i.id for i in found)
     assert len({unit.key for unit in units}) == len(units)
@@ -117,11 +117,11 @@
 # Seconds per event at each of two engines, their slots, and the seconds in which each
 # engine tries ten times to claim a unit.
 UNEVEN = (0.038, 0.049)
-UNEVEN_PLACES = 16
-LOOK = 0.05
+UNEVEN_SLOTS = 16
+CLAIM_PERIOD = 0.05
 
 
-def play_uneven(units, lengths, aware):
+def simulate_uneven_engines(units, lengths, aware):
     """Simulate a step on two engines of different speed; return its duration.
 
     Parameters
@@ -144,7 +144,7 @@
             pace = UNEVEN[engine]
             slower = [MODEL] if aware and engine else []
             running = [end for end in ends[engine] if end > clock.monotonic()]
-            room = FreeCapacity(UNEVEN_PLACES - len(running))
+            room = FreeCapacity(UNEVEN_SLOTS - len(running))
             found = own.choose_candidate([MODEL], {MODEL: 1}, room, slower)
             if found is None:
                 continue
@@ -154,7 +154,7 @@
             )
             for item in by_key[found.unit.key].items:
                 ends[engine].append(clock.monotonic() + lengths[item.id] * pace)
-        clock.advance(LOOK / 10)
+        clock.advance(CLAIM_PERIOD / 10)
     return max(ends[0] + ends[1]) - start
 
 
@@ -162,10 +162,10 @@
     """When the slower engine claimed any unit, steps took 1.2 times as long."""
     plain_times, aware_times = [], []
     for seed in range(20):
-        found, lengths = step(seed, groups=9, size=4)
+        found, lengths = make_step(seed, groups=9, size=4)
         units = split_into_units(found)
         best = max(lengths.values()) * UNEVEN[0]
-        plain_times.append(play_uneven(units, lengths, aware=False) / best)
-        aware_times.append(play_uneven(units, lengths, aware=True) / best)
+        plain_times.append(simulate_uneven_engines(units, lengths, aware=False) / best)
+        aware_times.append(simulate_uneven_engines(units, lengths, aware=True) / best)
     print(statistics.mean(plain_times), statistics.mean(aware_times))
     assert statistics.mean(aware_times) < 1.06
