--- a/tests/late_answer_builders.py
+++ b/tests/late_answer_builders.py
@@ -47,45 +47,61 @@
 
 
 class LostReleaseTables(HeldAnswerTables):
-    """Tables that lose the answer to the first release and can hold back changes."""
+    """Tables that lose the answer to the first release and can hold back changes.
+
+    Attributes
+    ----------
+    lost_answers : int
+    changes_allowed : asyncio.Event
+        Changes are answered while it is set.
+    """
 
     def __init__(self):
         super().__init__()
-        self.lost = 0
-        self.told = asyncio.Event()
-        self.told.set()
+        self.lost_answers = 0
+        self.changes_allowed = asyncio.Event()
+        self.changes_allowed.set()
 
     async def changes(self, table, after, wait):
-        await self.told.wait()
+        await self.changes_allowed.wait()
         return await super().changes(table, after, wait)
 
     async def commit(self, writes):
         outcome = await super().commit(writes)
-        if not self.lost and any(w.table == CLAIMS and w.value == {} for w in writes):
-            self.lost += 1
+        if not self.lost_answers and any(
+            w.table == CLAIMS and w.value == {} for w in writes
+        ):
+            self.lost_answers += 1
             return Unknown("the answer was lost")
         return outcome
 
 
 class LostClaimTables(HeldAnswerTables):
-    """Tables that store claims and hold back their answers and changes."""
+    """Tables that store claims and hold back their answers and changes.
+
+    Attributes
+    ----------
+    lost_answers : int
+    answers_allowed : asyncio.Event
+        Once a claim was stored, changes and answers to claims wait for it.
+    """
 
     def __init__(self):
         super().__init__()
-        self.lost = 0
-        self.told = asyncio.Event()
+        self.lost_answers = 0
+        self.answers_allowed = asyncio.Event()
 
     async def changes(self, table, after, wait):
         answer = await super().changes(table, after, wait)
-        if self.lost:
-            await self.told.wait()
+        if self.lost_answers:
+            await self.answers_allowed.wait()
         return answer
 
     async def commit(self, writes):
         outcome = await super().commit(writes)
         if any(w.table == CLAIMS and w.value for w in writes):
-            self.lost += 1
-            await self.told.wait()
+            self.lost_answers += 1
+            await self.answers_allowed.wait()
             return Unknown("the answer was lost")
         return outcome
 
@@ -104,10 +120,10 @@
 
     def __init__(self):
         super().__init__()
-        self.refused = 0
+        self.refused_claims = 0
 
     async def commit(self, writes):
         if any(w.table == CLAIMS for w in writes):
-            self.refused += 1
+            self.refused_claims += 1
             return Conflict("the job is gone")
         return await super().commit(writes)
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -88,12 +88,14 @@
     async def scenario():
         store = LostReleaseTables()
         world, agent, engine = await busy(store)
-        store.told.clear()
+        store.changes_allowed.clear()
         await run_loop_turns()
         # A slow engine gets nothing new for two seconds.
         agent.slow_at = agent.clock.monotonic()
         agent.runner.hand_over_all("the engine is slow")
-        await wait_until(lambda: store.lost and not agent.runner.releaser.pending)
+        await wait_until(
+            lambda: store.lost_answers and not agent.runner.releaser.pending
+        )
         agent.wake()
         await run_loop_turns()
         assert len(engine.started) == 2
@@ -153,10 +155,10 @@
         agent = world.agent(engine=engine)
         await wait_until(lambda: agent.local_engine.healthy)
         await world.submit(groups=1, size=2)
-        await wait_until(lambda: store.lost)
+        await wait_until(lambda: store.lost_answers)
         engine.serves = False
         await wait_until(lambda: not agent.local_engine.healthy)
-        store.told.set()
+        store.answers_allowed.set()
         await wait_until(lambda: store.rows["claims", "job", "00000"].value == {})
         assert not engine.started
         await world.close()
@@ -177,9 +179,9 @@
         agent = world.agent()
         await wait_until(lambda: agent.local_engine.healthy)
         await world.submit(groups=1, size=2)
-        await wait_until(lambda: store.refused)
+        await wait_until(lambda: store.refused_claims)
         await run_loop_turns()
-        assert store.refused <= CONCURRENT_CLAIMS
+        assert store.refused_claims <= CONCURRENT_CLAIMS
         await world.close()
 
     run_scenario(scenario)
