--- a/gypsumshift/jobs/agent.py
+++ b/gypsumshift/jobs/agent.py
@@ -280,7 +280,7 @@
     def free_capacity(self, limits: EngineLimits) -> FreeCapacity:
         """Return what the engine should be given beside what it runs."""
         coming = self.claimer.pending_units()
-        load = self.runner.load + sum(len(unit.items) for unit in coming)
+        load = self.runner.slots_used + sum(len(unit.items) for unit in coming)
         since = self.clock.monotonic() - self.slow_at
         if since < SLOW_PAUSE:
             return NO_CAPACITY
@@ -290,7 +290,7 @@
             return NO_CAPACITY
         sizes = [size for unit in coming for size in [unit.memory] * len(unit.items)]
         return FreeCapacity(
-            limits.slots - load, limits.memory, (*self.runner.sizes, *sizes)
+            limits.slots - load, limits.memory, (*self.runner.memory_estimates, *sizes)
         )
 
     async def run_claim_loop(self, news: asyncio.Event) -> None:
--- a/gypsumshift/jobs/unitrunner.py
+++ b/gypsumshift/jobs/unitrunner.py
@@ -105,7 +105,7 @@
         )
 
     @property
-    def load(self) -> int:
+    def slots_used(self) -> int:
         """Number of items that use a slot of the engine, or are about to.
 
         Items that wait for their scores are not counted: when they were, slots stood
@@ -115,7 +115,7 @@
         return sum(unit.slots_used for unit in self.units.values())
 
     @property
-    def sizes(self) -> tuple[int, ...]:
+    def memory_estimates(self) -> tuple[int, ...]:
         """Estimated memory of each item that counts as load, in tokens."""
         return tuple(
             size for unit in self.units.values() for size in unit.memory_estimates
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -192,7 +192,7 @@
     agent.runner.forwarder.may_answer.clear()
     await world.submit(groups=3)
     await until(lambda: len(engine.started) == 6)
-    assert agent.runner.load == 0
+    assert agent.runner.slots_used == 0
     agent.runner.forwarder.may_answer.set()
     await world.results()
     assert agent.runner.scoring_count == 0
--- a/tests/test_fatal_items.py
+++ b/tests/test_fatal_items.py
@@ -174,7 +174,7 @@
         world.fatal = {FATAL_ITEM}
         await world.submit(groups=1, size=1)
         await asyncio.sleep(40)
-        assert all(agent.runner.load == 0 for agent in world.agents.values())
+        assert all(agent.runner.slots_used == 0 for agent in world.agents.values())
         await world.submit("next", groups=6, size=4)
         await asyncio.sleep(5)
         assert len(await world.listed("next")) == 24
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -240,10 +240,10 @@
         agent = world.agent(engine=engine, presence=presence)
         await wait_until(lambda: presence.asked)
         await world.submit("new", groups=2, size=2)
-        await wait_until(lambda: agent.runner.load == 4)
+        await wait_until(lambda: agent.runner.slots_used == 4)
         presence.answer.set()
         await run_loop_turns()
-        assert agent.runner.load == 4
+        assert agent.runner.slots_used == 4
         await world.close()
 
     run_scenario(scenario)
