--- a/gypsumshift/jobs/agent.py
+++ b/gypsumshift/jobs/agent.py
@@ -302,7 +302,7 @@
     def free_capacity(self, limits: EngineLimits) -> FreeCapacity:
         """Return the capacity for further items, pending claims deducted."""
         pending = self.claimer.pending_units()
-        load = self.runner.load + sum(len(unit.items) for unit in pending)
+        load = self.runner.slots_used + sum(len(unit.items) for unit in pending)
         since = self.clock.monotonic() - self.slow_at
         if since < SLOW_PAUSE:
             return NO_CAPACITY
@@ -312,7 +312,7 @@
             return NO_CAPACITY
         sizes = [size for unit in pending for size in [unit.memory] * len(unit.items)]
         return FreeCapacity(
-            limits.slots - load, limits.memory, (*self.runner.sizes, *sizes)
+            limits.slots - load, limits.memory, (*self.runner.memory_estimates, *sizes)
         )
 
     async def run_claim_loop(self, wake_event: asyncio.Event) -> None:
--- a/tests/late_answer_builders.py
+++ b/tests/late_answer_builders.py
@@ -1,4 +1,4 @@
-"""Builders for tests of late answers: engines that wait, stores that keep silent."""
+"""Builders for tests of late answers: engines that block, stores that do not answer."""
 
 import asyncio
 
@@ -18,13 +18,13 @@
 
 
 async def run_loop_turns(count=500):
-    """Let as many turns of the loop pass as a run of an item takes, and more."""
+    """Run more iterations of the event loop than running an item takes."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
 class BlockingEngine(FakeEngine):
-    """Engine at which some items wait for an event of their own before they begin."""
+    """Engine that blocks given items until their entries in ``stuck`` are set."""
 
     def __init__(self, *stuck):
         super().__init__()
@@ -38,7 +38,7 @@
 
 
 class FailingEngine(FakeEngine):
-    """Engine whose client meets an error of the program."""
+    """Engine whose client raises an unexpected exception."""
 
     async def stream(self, server, item, host, after, urgency):
         self.started.append((item.id, after))
@@ -47,51 +47,67 @@
 
 
 class LostReleaseTables(HeldAnswerTables):
-    """Tables that lose the answer to the first unit given back, and tell no change."""
+    """Tables that lose the answer to the first release and can hold back changes.
+
+    Attributes
+    ----------
+    lost_answers : int
+    changes_allowed : asyncio.Event
+        Changes are answered while it is set.
+    """
 
     def __init__(self):
         super().__init__()
-        self.lost = 0
-        self.told = asyncio.Event()
-        self.told.set()
+        self.lost_answers = 0
+        self.changes_allowed = asyncio.Event()
+        self.changes_allowed.set()
 
     async def changes(self, table, after, wait):
-        await self.told.wait()
+        await self.changes_allowed.wait()
         return await super().changes(table, after, wait)
 
     async def commit(self, writes):
         outcome = await super().commit(writes)
-        if not self.lost and any(w.table == CLAIMS and w.value == {} for w in writes):
-            self.lost += 1
+        if not self.lost_answers and any(
+            w.table == CLAIMS and w.value == {} for w in writes
+        ):
+            self.lost_answers += 1
             return Unknown("the answer was lost")
         return outcome
 
 
 class LostClaimTables(HeldAnswerTables):
-    """Tables that carry claims out, and say nothing of them until told to."""
+    """Tables that store claims and hold back their answers and changes.
+
+    Attributes
+    ----------
+    lost_answers : int
+    answers_allowed : asyncio.Event
+        Once a claim was stored, changes and answers to claims wait for it.
+    """
 
     def __init__(self):
         super().__init__()
-        self.lost = 0
-        self.told = asyncio.Event()
+        self.lost_answers = 0
+        self.answers_allowed = asyncio.Event()
 
     async def changes(self, table, after, wait):
         answer = await super().changes(table, after, wait)
-        if self.lost:
-            await self.told.wait()
+        if self.lost_answers:
+            await self.answers_allowed.wait()
         return answer
 
     async def commit(self, writes):
         outcome = await super().commit(writes)
         if any(w.table == CLAIMS and w.value for w in writes):
-            self.lost += 1
-            await self.told.wait()
+            self.lost_answers += 1
+            await self.answers_allowed.wait()
             return Unknown("the answer was lost")
         return outcome
 
 
 class NoClaimChangesTables(HeldAnswerTables):
-    """Tables whose changes tell nothing of claims."""
+    """Tables that never report changes of claims."""
 
     async def changes(self, table, after, wait):
         if table == CLAIMS:
@@ -100,14 +116,14 @@
 
 
 class ClaimRefusingTables(MemoryTables):
-    """Tables that refuse claims and have none."""
+    """Tables that answer every write of a claim with a conflict."""
 
     def __init__(self):
         super().__init__()
-        self.refused = 0
+        self.refused_claims = 0
 
     async def commit(self, writes):
         if any(w.table == CLAIMS for w in writes):
-            self.refused += 1
+            self.refused_claims += 1
             return Conflict("the job is gone")
         return await super().commit(writes)
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -89,12 +89,14 @@
     async def scenario():
         store = LostReleaseTables()
         world, agent, engine = await busy(store)
-        store.told.clear()
+        store.changes_allowed.clear()
         await run_loop_turns()
         # A slow engine gets no new work for two seconds.
         agent.slow_at = agent.clock.monotonic()
         agent.runner.hand_over_all("the engine is slow")
-        await wait_until(lambda: store.lost and not agent.runner.releaser.pending)
+        await wait_until(
+            lambda: store.lost_answers and not agent.runner.releaser.pending
+        )
         agent.wake()
         await run_loop_turns()
         assert len(engine.started) == 2
@@ -154,10 +156,10 @@
         agent = world.agent(engine=engine)
         await wait_until(lambda: agent.local_engine.healthy)
         await world.submit(groups=1, size=2)
-        await wait_until(lambda: store.lost)
+        await wait_until(lambda: store.lost_answers)
         engine.serves = False
         await wait_until(lambda: not agent.local_engine.healthy)
-        store.told.set()
+        store.answers_allowed.set()
         await wait_until(lambda: store.rows["claims", "job", "00000"].value == {})
         assert not engine.started
         await world.close()
@@ -179,9 +181,9 @@
         agent = world.agent()
         await wait_until(lambda: agent.local_engine.healthy)
         await world.submit(groups=1, size=2)
-        await wait_until(lambda: store.refused)
+        await wait_until(lambda: store.refused_claims)
         await run_loop_turns()
-        assert store.refused <= CONCURRENT_CLAIMS
+        assert store.refused_claims <= CONCURRENT_CLAIMS
         await world.close()
 
     run_scenario(scenario)
@@ -241,10 +243,10 @@
         agent = world.agent(engine=engine, presence=probe)
         await wait_until(lambda: probe.asked)
         await world.submit("new", groups=2, size=2)
-        await wait_until(lambda: agent.runner.load == 4)
+        await wait_until(lambda: agent.runner.slots_used == 4)
         probe.answer.set()
         await run_loop_turns()
-        assert agent.runner.load == 4
+        assert agent.runner.slots_used == 4
         await world.close()
 
     run_scenario(scenario)
