--- a/gypsumshift/agentnode.py
+++ b/gypsumshift/agentnode.py
@@ -10,8 +10,8 @@
 from gypsumshift.jobs.station import Home
 from gypsumshift.lifecycle import Node
 from gypsumshift.policy import DEFAULT, Policy
+from gypsumshift.serving.crashguard import CrashGuard
 from gypsumshift.serving.forwarder import Forwarder
-from gypsumshift.serving.guard import Guard
 from gypsumshift.serving.pool import Pool
 from gypsumshift.serving.sender import Sender
 
@@ -60,7 +60,7 @@
         presence: Presence = UNASKED,
         store_writes: float = STORE_WRITES,
     ):
-        self.guard = Guard(store, clock, chance, metrics)
+        self.guard = CrashGuard(store, clock, chance, metrics)
         watches = [*watches, self.guard.table.watch]
         super().__init__(directory, watches, Pool(zone, clock, chance, policy), clock)
         directory.on_restart.append(lambda old: fetcher.cut(old.address))
--- a/gypsumshift/crashnews.py
+++ b/gypsumshift/crashgossip.py
@@ -21,27 +21,27 @@
 from gypsumshift.serving.directory import ServerStart
 from gypsumshift.serving.quarantine import Crash
 
-__all__ = ["CRASHED", "CrashNews", "decode", "encode"]
+__all__ = ["CRASHES_PATH", "CrashGossip", "decode", "encode"]
 
 # Target by which processes tell each other of crashes.
-CRASHED = "/neighbour/crashes"
+CRASHES_PATH = "/neighbour/crashes"
 # Seconds between two looks for crashes that wait for the store, and for an answer.
-PERIOD = 0.1
-ASK_TIMEOUT = 0.3
+SEND_PERIOD_S = 0.1
+REQUEST_TIMEOUT_S = 0.3
 # Neighbours that are told each time: news that each passes on once reach some 95 of
 # 100 so, and the rest by the next look.
 FANOUT = 3
 # Crashes in one message, of some 150 bytes each.
-MOST_TOLD = 20
+MAX_PER_MESSAGE = 20
 # Seconds for which a trial that the store was not asked for is told.
-TRIAL_TOLD = 5.0
+TRIAL_REPORT_TIME_S = 5.0
 # Bytes of a key that is believed.
-MOST_KEY = 200
+MAX_KEY_LENGTH = 200
 
 log = logs.logger("crashnews")
 
 
-class CrashNews:
+class CrashGossip:
     """Tells neighbours what the store was not told yet, and hears from them.
 
     Parameters
@@ -65,7 +65,7 @@
         self.path = path
         self.clock = clock
         self.chance = chance
-        self.passing: dict[str, Crash] = {}
+        self.to_forward: dict[str, Crash] = {}
 
     async def run(self) -> None:
         """Tell what waits for the store, and pass on what is new, until cancelled.
@@ -74,37 +74,45 @@
         would go round among them without end.
         """
         while True:
-            await self.clock.sleep(PERIOD)
-            crashes, trials = self.untold()
+            await self.clock.sleep(SEND_PERIOD_S)
+            crashes, trials = self.take_unsent()
             if crashes or trials:
-                await self.tell(crashes, trials)
+                await self.send(crashes, trials)
 
-    def untold(self) -> tuple[list[Crash], list[str]]:
+    def take_unsent(self) -> tuple[list[Crash], list[str]]:
         """Take the newest crashes, and keys of trials, that the store does not know.
 
         A write takes 5 to 40 ms: what waits for longer is looked at as held up.
         """
         now = self.clock.monotonic()
-        waiting = self.table.waiting.values()
-        crashes = [crash for crash in waiting if now - crash.seen_at > PERIOD]
-        crashes += self.passing.values()
-        self.passing.clear()
-        trials = [k for k, at in self.table.own_trials.items() if now - at < TRIAL_TOLD]
-        return crashes[-MOST_TOLD:], trials
-
-    async def tell(self, crashes: list[Crash], trials: list[str]) -> None:
+        waiting = self.table.pending_writes.values()
+        crashes = [crash for crash in waiting if now - crash.seen_at > SEND_PERIOD_S]
+        crashes += self.to_forward.values()
+        self.to_forward.clear()
+        trials = [
+            k
+            for k, at in self.table.unstored_trials.items()
+            if now - at < TRIAL_REPORT_TIME_S
+        ]
+        return crashes[-MAX_PER_MESSAGE:], trials
+
+    async def send(self, crashes: list[Crash], trials: list[str]) -> None:
         """Tell some neighbours."""
         known = list(self.path.neighbours.values())
         chosen = self.chance.sample(known, min(len(known), FANOUT))
         news = encode(crashes, trials, self.clock.monotonic())
         body = json.dumps(news).encode()
-        await asyncio.gather(*(self.tell_one(who, body) for who in chosen))
+        await asyncio.gather(*(self.send_to(who, body) for who in chosen))
 
-    async def tell_one(self, neighbour: Neighbour, body: bytes) -> None:
+    async def send_to(self, neighbour: Neighbour, body: bytes) -> None:
         """Tell one neighbour; one that does not answer hears from others."""
         try:
             await self.path.fetcher.fetch(
-                neighbour.address, "POST", CRASHED, body=body, timeout=ASK_TIMEOUT
+                neighbour.address,
+                "POST",
+                CRASHES_PATH,
+                body=body,
+                timeout=REQUEST_TIMEOUT_S,
             )
         except FetchError as error:
             log.debug("{} is not told of crashes: {}", neighbour.name, error)
@@ -117,10 +125,12 @@
         except (ValueError, RecursionError) as error:
             return json_response(400, {"error": str(error)})
         for crash in crashes:
-            if len(self.passing) < MOST_TOLD and self.table.learn(crash):
-                self.passing[crash.key] = crash
+            if len(self.to_forward) < MAX_PER_MESSAGE and self.table.add_reported_crash(
+                crash
+            ):
+                self.to_forward[crash.key] = crash
         for key in trials:
-            self.table.learn_trial(key)
+            self.table.add_reported_trial(key)
         return Response(200)
 
 
@@ -140,13 +150,13 @@
     crashes, trials = news.get("crashes"), news.get("trials")
     if not isinstance(crashes, list) or not isinstance(trials, list):
         raise ValueError("no news of crashes")
-    found = [decode_crash(row, now) for row in crashes[:MOST_TOLD]]
-    return found, [decode_key(key) for key in trials[:MOST_TOLD]]
+    found = [decode_crash(row, now) for row in crashes[:MAX_PER_MESSAGE]]
+    return found, [decode_key(key) for key in trials[:MAX_PER_MESSAGE]]
 
 
 def decode_key(key: object) -> str:
     """Return a key; raises ValueError."""
-    if not isinstance(key, str) or not key or len(key) > MOST_KEY:
+    if not isinstance(key, str) or not key or len(key) > MAX_KEY_LENGTH:
         raise ValueError("no key of a crash")
     return key
 
@@ -164,5 +174,5 @@
         raise ValueError("an age beyond reason")
     key = decode_key(key)
     fingerprint = key.partition("/")[0]
-    start = ServerStart(server[:MOST_KEY], born)
-    return Crash(key, fingerprint, request[:MOST_KEY], start, now - max(age, 0.0))
+    start = ServerStart(server[:MAX_KEY_LENGTH], born)
+    return Crash(key, fingerprint, request[:MAX_KEY_LENGTH], start, now - max(age, 0.0))
--- a/gypsumshift/dispatch.py
+++ b/gypsumshift/dispatch.py
@@ -26,9 +26,9 @@
 from gypsumshift.outcomes import HeldBack, NotRun, Unknown
 from gypsumshift.process import Process
 from gypsumshift.routing import ROUTERS, Router
+from gypsumshift.serving.crashguard import CrashGuard, Permit
 from gypsumshift.serving.directory import ServerStart
 from gypsumshift.serving.fingerprints import fingerprint
-from gypsumshift.serving.guard import Guard, Permit
 
 __all__ = ["Dispatcher", "Job", "mark", "not_run"]
 
@@ -113,7 +113,7 @@
 
     Attributes
     ----------
-    guard : Guard
+    guard : CrashGuard
         Holds back what ends backend servers. It goes by what this entry saw: its table
         is its own, since this deployment's tables have no feed to be told by.
     """
@@ -123,7 +123,7 @@
         self.clock = process.clock
         self.routers: dict[str, Router] = {}
         self.budgets: dict[str, RetryBudget] = {}
-        self.guard = Guard(
+        self.guard = CrashGuard(
             MemoryTables(), process.clock, process.random, process.metrics
         )
 
@@ -169,7 +169,7 @@
             return result
         finally:
             if not isinstance(result, Streamed):
-                self.guard.close(permit, job.attempts > 0)
+                self.guard.release_permit(permit, job.attempts > 0)
 
     async def send_on(
         self, job: Job, permit: Permit
@@ -180,14 +180,14 @@
         refusal = Refusal(f"no backend server of {job.pool} is known here", 1.0)
         lost = None
         for _ in range(MOST_TRIES + MOST_PROBES):
-            if not self.guard.allows(permit, 0, job.attempts > 0):
+            if not self.guard.may_send(permit, 0, job.attempts > 0):
                 break
             known = self.next_sidecar(job, router)
             if known is None or job.deadline <= self.clock.monotonic():
                 break
             result = await self.attempt(job, known, new_attempt(mark(known)))
             if isinstance(result, Lost) and result.ended:
-                self.guard.note_end(permit, backend_start(known))
+                self.guard.record_crash(permit, backend_start(known))
             if isinstance(result, Lost):
                 if not job.repeatable:
                     result = await self.settle(job, known, result)
@@ -207,7 +207,7 @@
     def settled(self, result, permit: Permit, known: Known):
         """Have the guard learn from an answer, or from the end of a stream."""
         if isinstance(result, Whole):
-            self.guard.answered(permit, result.head.status)
+            self.guard.record_answer(permit, result.head.status)
         if isinstance(result, Streamed):
             result.chunks = self.guarded(result.chunks, result, permit, known)
         return result
@@ -218,13 +218,13 @@
             async with contextlib.aclosing(chunks):
                 async for data in chunks:
                     yield data
-            self.guard.answered(permit, result.head.status)
+            self.guard.record_answer(permit, result.head.status)
         except LinkError:
             if result.answer.ended:
-                self.guard.note_end(permit, backend_start(known))
+                self.guard.record_crash(permit, backend_start(known))
             raise
         finally:
-            self.guard.close(permit, ran=True)
+            self.guard.release_permit(permit, ran=True)
 
     def next_sidecar(self, job: Job, router: Router) -> Known | None:
         """Return the sidecar to try next.
--- a/gypsumshift/gateway.py
+++ b/gypsumshift/gateway.py
@@ -10,8 +10,8 @@
 from gypsumshift.platforms import RowStore
 from gypsumshift.policy import DEFAULT, Policy
 from gypsumshift.serving.admission import Admission
+from gypsumshift.serving.crashguard import CrashGuard
 from gypsumshift.serving.forwarder import Forwarder
-from gypsumshift.serving.guard import Guard
 from gypsumshift.serving.pool import Pool
 from gypsumshift.serving.sender import Sender
 from gypsumshift.serving.streams import StreamRelay
@@ -72,7 +72,7 @@
         self.chance: random.Random = chance
         self.desk = Desk(store, clock, metrics)
         self.directory_watches: list[Watch] = directory_watches
-        self.guard = Guard(store, clock, chance, metrics)
+        self.guard = CrashGuard(store, clock, chance, metrics)
         watches = [*directory_watches, *self.desk.watches, self.guard.table.watch]
         super().__init__(directory, watches, Pool(zone, clock, chance, policy), clock)
         directory.on_restart.append(lambda old: fetcher.cut(old.address))
@@ -88,7 +88,7 @@
         """Whether new callers should come here."""
         if self.leaving or not self.directory.routes.version:
             return False
-        if not self.guard.informed or not self.admission.ready:
+        if not self.guard.loaded or not self.admission.ready:
             return False
         newest = max(watch.current_at for watch in self.directory_watches)
         return self.clock.monotonic() - newest < STORE_SILENCE
--- a/gypsumshift/jobs/itemsteps.py
+++ b/gypsumshift/jobs/itemsteps.py
@@ -17,8 +17,8 @@
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import HeldBack
 from gypsumshift.platforms import RowStore
+from gypsumshift.serving.crashguard import CrashGuard, Permit
 from gypsumshift.serving.directory import BackendServer
-from gypsumshift.serving.guard import Guard, Permit
 from gypsumshift.serving.liveness import is_gone
 
 __all__ = ["ItemSteps"]
@@ -38,7 +38,7 @@
     ----------
     station : Station
     weights : WeightKeeper
-    guard : Guard
+    guard : CrashGuard
     store : RowStore
         Tells the time by which items age.
     clock : Clock
@@ -56,7 +56,7 @@
         self,
         station: Station,
         weights: WeightKeeper,
-        guard: Guard,
+        guard: CrashGuard,
         store: RowStore,
         clock: Clock,
         metrics: Metrics,
@@ -114,7 +114,7 @@
         server = self.station.server
         if server is None or self.weights.loading == run.job.model:
             return None
-        if self.guard.quarantine.keeps_apart(run.fingerprint, self.running):
+        if self.guard.quarantine.must_run_apart(run.fingerprint, self.running):
             return None
         self.running.append(run.fingerprint)
         try:
@@ -135,14 +135,14 @@
             result = await run.generate(server)
             run.generated = result is None
             if run.generated:
-                self.guard.answered(permit, WHOLE, from_start)
+                self.guard.record_answer(permit, WHOLE, from_start)
             return result
         except StreamBroken as error:
             ran = error.sent
             await self.note_broken(run, server, error, permit)
             return None
         finally:
-            self.guard.close(permit, ran)
+            self.guard.release_permit(permit, ran)
 
     async def wait_held(self, run: ItemRun, held: HeldBack) -> Result | None:
         """Wait until an item may be tried again; return the result of one given up.
@@ -168,7 +168,7 @@
         directory, fetcher = self.station.directory, self.station.engine.fetcher
         ended = error.closed and await is_gone(directory, fetcher, server)
         if ended:
-            self.guard.note_end(permit, server.start)
+            self.guard.record_crash(permit, server.start)
         if error.replaced:
             self.station.replaced.add(server.start)
         self.metrics.count("broken_streams")
--- a/gypsumshift/serving/guard.py
+++ b/gypsumshift/serving/crashguard.py
@@ -12,16 +12,21 @@
 from gypsumshift.platforms import RowStore
 from gypsumshift.serving.crashtable import CrashTable
 from gypsumshift.serving.directory import ServerStart
-from gypsumshift.serving.quarantine import MOST_ENDS, MOST_ID, Crash, Quarantine
-from gypsumshift.serving.trialclaims import Claim
+from gypsumshift.serving.quarantine import (
+    CRASH_LIMIT,
+    MAX_REQUEST_ID_LENGTH,
+    Crash,
+    Quarantine,
+)
+from gypsumshift.serving.trialclaims import ClaimResult
 
-__all__ = ["REASON", "Guard", "Permit"]
+__all__ = ["HELD_BACK_REASON", "CrashGuard", "Permit"]
 
-REASON = "servers ended under this request each time that it ran"
+HELD_BACK_REASON = "servers ended under this request each time that it ran"
 # Seconds after which a caller may come back at the soonest: a trial may be under way.
-LEAST_PAUSE = 0.25
+MIN_RETRY_AFTER_S = 0.25
 # HTTP statuses from which on an answer is a failure of its server.
-FAILURES = 500
+FIRST_FAILURE_STATUS = 500
 
 log = logs.logger("guard")
 
@@ -42,7 +47,7 @@
     trial: int = 0
 
 
-class Guard:
+class CrashGuard:
     """Decides by what this process and all others saw.
 
     Parameters
@@ -60,12 +65,12 @@
         self.metrics = metrics
         self.quarantine = Quarantine(clock)
         self.table = CrashTable(store, self.quarantine, clock, chance)
-        self.trying: set[str] = set()
+        self.claiming: set[str] = set()
 
     @property
-    def informed(self) -> bool:
+    def loaded(self) -> bool:
         """Whether this process was told what others saw before it began."""
-        return self.table.informed
+        return self.table.loaded
 
     async def admit(self, fingerprint: str, request: str) -> Permit | HeldBack:
         """Return leave to send a request, or that it is held back.
@@ -73,34 +78,36 @@
         Of a request that is held back a trial is due from time to time, which one
         process makes.
         """
-        request = request[:MOST_ID]
+        request = request[:MAX_REQUEST_ID_LENGTH]
         trial = 0
-        if self.quarantine.holds(fingerprint):
+        if self.quarantine.is_held_back(fingerprint):
             trial = await self.begin_trial(fingerprint, request)
-        if trial or not self.quarantine.holds(fingerprint):
+        if trial or not self.quarantine.is_held_back(fingerprint):
             return Permit(fingerprint, request, trial)
         return self.refuse(fingerprint, request)
 
     async def begin_trial(self, fingerprint: str, request: str) -> int:
         """Return the number of a trial that this process is to make; 0 for none."""
-        if fingerprint in self.trying or not self.quarantine.may_try(fingerprint):
+        if fingerprint in self.claiming or not self.quarantine.is_trial_due(
+            fingerprint
+        ):
             return 0
-        number = self.quarantine.trials(fingerprint) + 1
-        self.trying.add(fingerprint)
+        number = self.quarantine.trial_count(fingerprint) + 1
+        self.claiming.add(fingerprint)
         try:
             claim = await self.table.claim_trial(fingerprint, number)
         finally:
-            self.trying.discard(fingerprint)
-        if not self.quarantine.holds(fingerprint):
+            self.claiming.discard(fingerprint)
+        if not self.quarantine.is_held_back(fingerprint):
             # Answered elsewhere meanwhile.
-            if claim is Claim.OWN:
+            if claim is ClaimResult.OWN:
                 self.table.withdraw_trial(fingerprint, number)
             return 0
-        if claim is Claim.UNSETTLED:
-            self.quarantine.put_off(fingerprint)
+        if claim is ClaimResult.UNCERTAIN:
+            self.quarantine.postpone_trial(fingerprint)
             return 0
-        self.quarantine.note_trial(fingerprint, number)
-        if claim is Claim.ANOTHERS:
+        self.quarantine.record_trial(fingerprint, number)
+        if claim is ClaimResult.OTHER:
             return 0
         self.metrics.count("quarantine_trials")
         logs.event(
@@ -123,21 +130,21 @@
             fingerprint=fingerprint,
             servers=[crash.start.id for crash in crashes],
             requests=list(dict.fromkeys(crash.request for crash in crashes)),
-            trials=self.quarantine.trials(fingerprint),
-            retry_after_s=round(self.pause(fingerprint), 3),
+            trials=self.quarantine.trial_count(fingerprint),
+            retry_after_s=round(self.retry_after_s(fingerprint), 3),
         )
-        return self.held_back(fingerprint)
+        return self.held_back_outcome(fingerprint)
 
-    def held_back(self, fingerprint: str) -> HeldBack:
+    def held_back_outcome(self, fingerprint: str) -> HeldBack:
         """Return that a request is held back, and when it may come back."""
-        pause = self.pause(fingerprint)
-        return HeldBack(REASON, datetime.timedelta(seconds=pause))
+        pause = self.retry_after_s(fingerprint)
+        return HeldBack(HELD_BACK_REASON, datetime.timedelta(seconds=pause))
 
-    def pause(self, fingerprint: str) -> float:
+    def retry_after_s(self, fingerprint: str) -> float:
         """Return the seconds after which a request may come back."""
-        return max(LEAST_PAUSE, self.quarantine.pause(fingerprint))
+        return max(MIN_RETRY_AFTER_S, self.quarantine.seconds_to_trial(fingerprint))
 
-    def allows(self, permit: Permit, running: int, ran: bool) -> bool:
+    def may_send(self, permit: Permit, running: int, ran: bool) -> bool:
         """Tell whether a request may be sent to one more server.
 
         Parameters
@@ -150,9 +157,9 @@
         """
         if permit.trial:
             return not running and not ran
-        return running < self.quarantine.sends_left(permit.fingerprint)
+        return running < self.quarantine.max_parallel_sends(permit.fingerprint)
 
-    def note_end(self, permit: Permit, start: ServerStart) -> None:
+    def record_crash(self, permit: Permit, start: ServerStart) -> None:
         """Take that a server ended under a request."""
         crash = Crash(
             self.table.new_key(permit.fingerprint),
@@ -162,11 +169,11 @@
             self.clock.monotonic(),
         )
         self.metrics.count("quarantine_ends")
-        self.table.remove(self.quarantine.take(crash))
-        if self.quarantine.knows(permit.fingerprint, crash.key):
-            self.table.tell(crash)
-        ends = self.quarantine.ends(permit.fingerprint)
-        if ends == MOST_ENDS:
+        self.table.queue_removals(self.quarantine.add_crash(crash))
+        if self.quarantine.has_crash(permit.fingerprint, crash.key):
+            self.table.queue_write(crash)
+        ends = self.quarantine.crash_count(permit.fingerprint)
+        if ends == CRASH_LIMIT:
             self.log_hold(permit.fingerprint)
 
     def log_hold(self, fingerprint: str) -> None:
@@ -181,7 +188,7 @@
             requests=list(dict.fromkeys(crash.request for crash in crashes)),
         )
 
-    def answered(self, permit: Permit, status: int, whole: bool = True) -> None:
+    def record_answer(self, permit: Permit, status: int, whole: bool = True) -> None:
         """Take that a server answered a request: it does not end each.
 
         Parameters
@@ -195,12 +202,12 @@
             began may have been spared: a stream that ends its servers in its midst is
             whole in the end, too. A lone end then counts for chance.
         """
-        ends = self.quarantine.ends(permit.fingerprint)
-        if not ends or status >= FAILURES or (ends > 1 and not whole):
+        ends = self.quarantine.crash_count(permit.fingerprint)
+        if not ends or status >= FIRST_FAILURE_STATUS or (ends > 1 and not whole):
             return
-        trials = self.quarantine.trials(permit.fingerprint)
+        trials = self.quarantine.trial_count(permit.fingerprint)
         known = self.quarantine.clear(permit.fingerprint)
-        self.table.forget(permit.fingerprint, known, trials)
+        self.table.remove_request(permit.fingerprint, known, trials)
         permit.trial = 0
         logs.event(
             log,
@@ -210,7 +217,7 @@
             cleared=True,
         )
 
-    def close(self, permit: Permit, ran: bool) -> None:
+    def release_permit(self, permit: Permit, ran: bool) -> None:
         """Take the end of a request; a trial that no server took is withdrawn."""
         if permit.trial and not ran:
             self.quarantine.withdraw_trial(permit.fingerprint, permit.trial)
@@ -222,5 +229,5 @@
 
     def sweep(self) -> None:
         """Forget what is too old."""
-        self.quarantine.forget_old()
+        self.quarantine.remove_expired()
         self.table.sweep()
--- a/gypsumshift/serving/forwarder.py
+++ b/gypsumshift/serving/forwarder.py
@@ -3,7 +3,7 @@
 What may be repeated is sent again after a failure, and to a second server when the
 first keeps silent; what may not be repeated is sent again only where a server
 vouches that it has not run it. What ended servers, in this call or in others, is held
-back by the `Guard`.
+back by the `CrashGuard`.
 """
 
 import asyncio
@@ -17,9 +17,9 @@
 from gypsumshift.policy import DEFAULT, Policy
 from gypsumshift.serving.admission import WITHDRAWN
 from gypsumshift.serving.calls import Attempt, Call, Failed, Refused
+from gypsumshift.serving.crashguard import HELD_BACK_REASON, CrashGuard, Permit
 from gypsumshift.serving.directory import BackendServer, ServerStart
-from gypsumshift.serving.guard import REASON, Guard, Permit
-from gypsumshift.serving.lateends import LateEnds
+from gypsumshift.serving.latecrashes import LateCrashDetector
 from gypsumshift.serving.sender import Sender
 
 __all__ = ["Forwarder"]
@@ -92,11 +92,11 @@
     Parameters
     ----------
     sender : Sender
-    guard : Guard
+    guard : CrashGuard
     policy : Policy
     """
 
-    def __init__(self, sender: Sender, guard: Guard, policy: Policy = DEFAULT):
+    def __init__(self, sender: Sender, guard: CrashGuard, policy: Policy = DEFAULT):
         self.policy = policy
         self.sender = sender
         self.guard = guard
@@ -105,7 +105,7 @@
         self.clock = sender.clock
         self.metrics = sender.metrics
         self.trials: set[asyncio.Task] = set()
-        self.late_ends = LateEnds(
+        self.late_crashes = LateCrashDetector(
             guard, self.pool, self.directory, sender.fetcher, self.clock
         )
 
@@ -136,9 +136,9 @@
             ran = bool(race.ran or race.running)
             cut = list(race.running.values())
             await self.abandon(race)
-            self.guard.close(permit, ran)
+            self.guard.release_permit(permit, ran)
             if not isinstance(outcome, Answered):
-                self.late_ends.watch(permit, cut)
+                self.late_crashes.check_servers(permit, cut)
         took = self.clock.monotonic() - started
         ending = type(outcome).__name__
         self.metrics.time("request_seconds", took, service=service, outcome=ending)
@@ -196,8 +196,8 @@
         """Return why no more attempt may be made; empty where one may."""
         if not race.call.grant.holds:
             return WITHDRAWN
-        allowed = self.guard.allows(race.permit, len(race.running), bool(race.ran))
-        return "" if allowed else REASON
+        allowed = self.guard.may_send(race.permit, len(race.running), bool(race.ran))
+        return "" if allowed else HELD_BACK_REASON
 
     def start(self, race: Race) -> bool:
         """Start one more attempt where that is allowed; return whether it was."""
@@ -228,14 +228,14 @@
             return None
         if isinstance(outcome, Failed):
             if outcome.ended:
-                self.guard.note_end(race.permit, server.start)
+                self.guard.record_crash(race.permit, server.start)
             if outcome.sent:
                 race.ran.add(server.start)
             else:
                 race.refused.add(server.start)
             return None
         race.ran.add(server.start)
-        self.guard.answered(race.permit, outcome.status)
+        self.guard.record_answer(race.permit, outcome.status)
         if outcome.status < 500 or not race.call.repeatable:
             return outcome
         race.answer = outcome
@@ -247,8 +247,8 @@
             return race.answer
         if race.ran or race.running:
             return Unknown(reason)
-        if reason == REASON:
-            return self.guard.held_back(race.permit.fingerprint)
+        if reason == HELD_BACK_REASON:
+            return self.guard.held_back_outcome(race.permit.fingerprint)
         return NotRun(reason, datetime.timedelta(seconds=RETRY_AFTER))
 
     async def abandon(self, race: Race) -> None:
--- a/gypsumshift/serving/quarantine.py
+++ b/gypsumshift/serving/quarantine.py
@@ -20,30 +20,30 @@
 from gypsumshift.clock import Clock
 from gypsumshift.serving.directory import ServerStart
 
-__all__ = ["MOST_ENDS", "MOST_ID", "Crash", "Quarantine"]
+__all__ = ["CRASH_LIMIT", "MAX_REQUEST_ID_LENGTH", "Crash", "Quarantine"]
 
 # Servers that end under a request until it is held back. A call and its repetition
 # can meet two that are lost with their hosts.
-MOST_ENDS = 3
+CRASH_LIMIT = 3
 # Servers that ended under two requests from which on these are not run side by side.
-SHARED_ENDS = 2
+SHARED_CRASH_LIMIT = 2
 # Seconds until a request that is held back is tried again, for each of its trials.
-TRIAL_PAUSES = (1.0, 20.0)
+TRIAL_DELAYS_S = (1.0, 20.0)
 # The same behind a trial under which its server ended: a fourth end by chance is rare,
 # and each trial of a bad one costs a server.
-ENDED_PAUSE = 300.0
+FAILED_TRIAL_DELAY_S = 300.0
 # Seconds for which an end is remembered.
-FORGOTTEN = 3600.0
+CRASH_RETENTION_S = 3600.0
 # Seconds within which several processes tell of the same end of a server: one that has
 # no start to be known by is not back sooner.
-SAME_END = 1.0
+DUPLICATE_WINDOW_S = 1.0
 # Requests that are remembered, and crashes of each: with these 4 MB at the most.
-MOST_CASES = 512
-MOST_CRASHES = 16
+MAX_RECORDS = 512
+MAX_CRASHES_PER_RECORD = 16
 # Requests that make room at once: each time, all are looked at.
-FORGOTTEN_AT_ONCE = 32
+EVICTION_BATCH = 32
 # Letters that are kept of the id under which a request came: callers choose them.
-MOST_ID = 64
+MAX_REQUEST_ID_LENGTH = 64
 
 
 @attrs.frozen
@@ -72,7 +72,7 @@
 
 
 @attrs.define
-class Case:
+class RequestRecord:
     """What is known of one request.
 
     Attributes
@@ -88,32 +88,35 @@
     """
 
     crashes: dict[str, Crash] = attrs.field(factory=dict)
-    trials: int = 0
-    quiet_since: float = -math.inf
-    tried_at: float = math.inf
+    trial_count: int = 0
+    last_event_at: float = -math.inf
+    last_trial_at: float = math.inf
 
     @property
-    def ends(self) -> int:
+    def crash_count(self) -> int:
         """Servers that ended: what several processes tell of one counts once."""
         ends = 0
         counted: dict[ServerStart, float] = {}
         for crash in sorted(self.crashes.values(), key=lambda crash: crash.seen_at):
-            if crash.seen_at - counted.get(crash.start, -math.inf) >= SAME_END:
+            if (
+                crash.seen_at - counted.get(crash.start, -math.inf)
+                >= DUPLICATE_WINDOW_S
+            ):
                 ends += 1
                 counted[crash.start] = crash.seen_at
         return ends
 
     @property
-    def pause(self) -> float:
+    def trial_delay(self) -> float:
         """Seconds from what happened last to its next trial."""
-        if self.trials >= len(TRIAL_PAUSES):
-            return FORGOTTEN
-        if any(crash.seen_at > self.tried_at for crash in self.crashes.values()):
-            return ENDED_PAUSE
-        return TRIAL_PAUSES[self.trials]
+        if self.trial_count >= len(TRIAL_DELAYS_S):
+            return CRASH_RETENTION_S
+        if any(crash.seen_at > self.last_trial_at for crash in self.crashes.values()):
+            return FAILED_TRIAL_DELAY_S
+        return TRIAL_DELAYS_S[self.trial_count]
 
     @property
-    def starts(self) -> set[ServerStart]:
+    def server_starts(self) -> set[ServerStart]:
         """Servers that ended."""
         return {crash.start for crash in self.crashes.values()}
 
@@ -128,156 +131,165 @@
 
     def __init__(self, clock: Clock):
         self.clock = clock
-        self.cases: dict[str, Case] = {}
+        self.records: dict[str, RequestRecord] = {}
 
-    def take(self, crash: Crash) -> list[str]:
+    def add_crash(self, crash: Crash) -> list[str]:
         """Take a crash; return the keys of those that make room for it."""
-        if self.clock.monotonic() - crash.seen_at > FORGOTTEN:
+        if self.clock.monotonic() - crash.seen_at > CRASH_RETENTION_S:
             return []
-        case = self.cases.get(crash.fingerprint)
+        case = self.records.get(crash.fingerprint)
         if case is None:
-            removed = self.make_room()
-            case = self.cases[crash.fingerprint] = Case()
-        elif crash.key in case.crashes or len(case.crashes) >= MOST_CRASHES:
+            removed = self.evict_records()
+            case = self.records[crash.fingerprint] = RequestRecord()
+        elif crash.key in case.crashes or len(case.crashes) >= MAX_CRASHES_PER_RECORD:
             return []
         else:
             removed = []
         case.crashes[crash.key] = crash
-        case.quiet_since = max(case.quiet_since, crash.seen_at)
+        case.last_event_at = max(case.last_event_at, crash.seen_at)
         return removed
 
-    def make_room(self) -> list[str]:
+    def evict_records(self) -> list[str]:
         """Forget requests where there are too many; return the keys of their crashes.
 
         Those under which the fewest servers ended, and of these the oldest: a flood of
         different requests leaves those in place that are held back.
         """
-        if len(self.cases) < MOST_CASES:
+        if len(self.records) < MAX_RECORDS:
             return []
-        rank = lambda name: (self.cases[name].ends, self.cases[name].quiet_since)
-        gone = heapq.nsmallest(FORGOTTEN_AT_ONCE, self.cases, key=rank)
-        return [key for name in gone for key in self.cases.pop(name).crashes]
-
-    def knows(self, fingerprint: str, key: str) -> bool:
+        rank = lambda name: (
+            self.records[name].crash_count,
+            self.records[name].last_event_at,
+        )
+        gone = heapq.nsmallest(EVICTION_BATCH, self.records, key=rank)
+        return [key for name in gone for key in self.records.pop(name).crashes]
+
+    def has_crash(self, fingerprint: str, key: str) -> bool:
         """Tell whether a crash is known."""
-        case = self.cases.get(fingerprint)
+        case = self.records.get(fingerprint)
         return case is not None and key in case.crashes
 
-    def ends(self, fingerprint: str) -> int:
+    def crash_count(self, fingerprint: str) -> int:
         """Return how many servers ended under a request."""
-        case = self.cases.get(fingerprint)
-        return case.ends if case else 0
+        case = self.records.get(fingerprint)
+        return case.crash_count if case else 0
 
-    def holds(self, fingerprint: str) -> bool:
+    def is_held_back(self, fingerprint: str) -> bool:
         """Tell whether a request is held back.
 
         Not one that only ran beside another: under that one, all of its servers ended
         and others besides.
         """
-        case = self.cases.get(fingerprint)
-        if case is None or case.ends < MOST_ENDS:
+        case = self.records.get(fingerprint)
+        if case is None or case.crash_count < CRASH_LIMIT:
             return False
-        starts = case.starts
-        more = [c for c in self.cases.values() if len(c.crashes) > len(starts)]
-        return not any(other.starts > starts for other in more)
+        starts = case.server_starts
+        more = [c for c in self.records.values() if len(c.crashes) > len(starts)]
+        return not any(other.server_starts > starts for other in more)
 
-    def sends_left(self, fingerprint: str) -> int:
+    def max_parallel_sends(self, fingerprint: str) -> int:
         """Return at how many servers at once a request may run, without a trial.
 
         As many as may end until it is held back; one, where it was let go.
         """
-        if self.holds(fingerprint):
+        if self.is_held_back(fingerprint):
             return 0
-        return max(1, MOST_ENDS - self.ends(fingerprint))
+        return max(1, CRASH_LIMIT - self.crash_count(fingerprint))
 
-    def keeps_apart(self, fingerprint: str, others: Iterable[str]) -> bool:
+    def must_run_apart(self, fingerprint: str, others: Iterable[str]) -> bool:
         """Tell whether a request must not run beside others at one server.
 
         Not beside one under which the same servers ended, nor one that is held back
         beside another on trial: both would be blamed for one end more.
         """
-        case = self.cases.get(fingerprint)
-        if case is None or case.ends < SHARED_ENDS:
+        case = self.records.get(fingerprint)
+        if case is None or case.crash_count < SHARED_CRASH_LIMIT:
             return False
-        known = {name: self.cases[name] for name in others if name in self.cases}
+        known = {name: self.records[name] for name in others if name in self.records}
         known.pop(fingerprint, None)
-        if self.holds(fingerprint) and any(map(self.holds, known)):
+        if self.is_held_back(fingerprint) and any(map(self.is_held_back, known)):
             return True
-        shared = (len(case.starts & other.starts) for other in known.values())
-        return any(count >= SHARED_ENDS for count in shared)
+        shared = (
+            len(case.server_starts & other.server_starts) for other in known.values()
+        )
+        return any(count >= SHARED_CRASH_LIMIT for count in shared)
 
     def crashes(self, fingerprint: str) -> list[Crash]:
         """Return the crashes under a request, the oldest first."""
-        case = self.cases.get(fingerprint)
+        case = self.records.get(fingerprint)
         found = case.crashes.values() if case else ()
         return sorted(found, key=lambda crash: crash.seen_at)
 
-    def trials(self, fingerprint: str) -> int:
+    def trial_count(self, fingerprint: str) -> int:
         """Return how often a request was tried while it was held back."""
-        case = self.cases.get(fingerprint)
-        return case.trials if case else 0
+        case = self.records.get(fingerprint)
+        return case.trial_count if case else 0
 
-    def pause(self, fingerprint: str) -> float:
+    def seconds_to_trial(self, fingerprint: str) -> float:
         """Return the seconds until a request may be sent or, held back, tried again.
 
         Once all trials are made, those until its crashes are forgotten.
         """
-        if not self.holds(fingerprint):
+        if not self.is_held_back(fingerprint):
             return 0.0
-        case = self.cases[fingerprint]
-        quiet = self.clock.monotonic() - case.quiet_since
-        return max(0.0, case.pause - quiet)
+        case = self.records[fingerprint]
+        quiet = self.clock.monotonic() - case.last_event_at
+        return max(0.0, case.trial_delay - quiet)
 
-    def may_try(self, fingerprint: str) -> bool:
+    def is_trial_due(self, fingerprint: str) -> bool:
         """Tell whether a request that is held back may be tried now."""
-        left = self.trials(fingerprint) < len(TRIAL_PAUSES)
-        return left and self.holds(fingerprint) and self.pause(fingerprint) <= 0
-
-    def note_trial(self, fingerprint: str, number: int, age: float = 0.0) -> None:
+        left = self.trial_count(fingerprint) < len(TRIAL_DELAYS_S)
+        return (
+            left
+            and self.is_held_back(fingerprint)
+            and self.seconds_to_trial(fingerprint) <= 0
+        )
+
+    def record_trial(self, fingerprint: str, number: int, age: float = 0.0) -> None:
         """Take that the trial of that number, from 1, was begun some seconds ago."""
-        case = self.cases.get(fingerprint)
-        if case is not None and number > case.trials:
-            case.trials = number
-            case.tried_at = self.clock.monotonic() - age
-            case.quiet_since = max(case.quiet_since, case.tried_at)
+        case = self.records.get(fingerprint)
+        if case is not None and number > case.trial_count:
+            case.trial_count = number
+            case.last_trial_at = self.clock.monotonic() - age
+            case.last_event_at = max(case.last_event_at, case.last_trial_at)
 
     def withdraw_trial(self, fingerprint: str, number: int) -> None:
         """Take that a trial came to nothing, since no server took the request.
 
         It may be made again as soon as a first one.
         """
-        case = self.cases.get(fingerprint)
-        if case is not None and case.trials == number:
-            case.trials = number - 1
-            case.tried_at = math.inf
-            self.put_off(fingerprint)
+        case = self.records.get(fingerprint)
+        if case is not None and case.trial_count == number:
+            case.trial_count = number - 1
+            case.last_trial_at = math.inf
+            self.postpone_trial(fingerprint)
 
-    def put_off(self, fingerprint: str) -> None:
+    def postpone_trial(self, fingerprint: str) -> None:
         """Have the next trial wait as long as a first one."""
-        case = self.cases.get(fingerprint)
-        if case is None or case.trials >= len(TRIAL_PAUSES):
+        case = self.records.get(fingerprint)
+        if case is None or case.trial_count >= len(TRIAL_DELAYS_S):
             return
-        waited = case.pause - TRIAL_PAUSES[0]
-        case.quiet_since = self.clock.monotonic() - waited
+        waited = case.trial_delay - TRIAL_DELAYS_S[0]
+        case.last_event_at = self.clock.monotonic() - waited
 
     def clear(self, fingerprint: str) -> list[str]:
         """Take that a server answered a request; return the keys of its crashes."""
-        case = self.cases.pop(fingerprint, None)
+        case = self.records.pop(fingerprint, None)
         return list(case.crashes) if case else []
 
-    def drop(self, fingerprint: str, key: str) -> None:
+    def remove_crash(self, fingerprint: str, key: str) -> None:
         """Take that a crash is no longer told."""
-        case = self.cases.get(fingerprint)
+        case = self.records.get(fingerprint)
         if case is None:
             return
         case.crashes.pop(key, None)
         if not case.crashes:
-            del self.cases[fingerprint]
+            del self.records[fingerprint]
 
-    def forget_old(self) -> None:
+    def remove_expired(self) -> None:
         """Forget the crashes that are too old."""
-        horizon = self.clock.monotonic() - FORGOTTEN
-        for fingerprint, case in list(self.cases.items()):
+        horizon = self.clock.monotonic() - CRASH_RETENTION_S
+        for fingerprint, case in list(self.records.items()):
             for key, crash in list(case.crashes.items()):
                 if crash.seen_at < horizon:
-                    self.drop(fingerprint, key)
+                    self.remove_crash(fingerprint, key)
--- a/gypsumshift/serving/streams.py
+++ b/gypsumshift/serving/streams.py
@@ -3,7 +3,7 @@
 A stream that may be resumed goes on at another server when its own breaks off; the
 caller sees one answer with the header fields of the first server. Any other stream
 is passed on as it comes, runs once, and is cut where its server cut it. What ends
-servers is held back by the `Guard`, as other requests are.
+servers is held back by the `CrashGuard`, as other requests are.
 """
 
 import asyncio
@@ -21,9 +21,9 @@
 from gypsumshift.serving.admission import WITHDRAWN
 from gypsumshift.serving.answers import passed_headers, refusal
 from gypsumshift.serving.calls import Call
+from gypsumshift.serving.crashguard import HELD_BACK_REASON, Permit
 from gypsumshift.serving.directory import BackendServer, ServerStart
 from gypsumshift.serving.forwarder import RETRY_AFTER, Forwarder
-from gypsumshift.serving.guard import REASON, Permit
 
 __all__ = ["Stream", "StreamRelay"]
 
@@ -100,7 +100,7 @@
         self.sender = forwarder.sender
         self.pool = forwarder.pool
         self.guard = forwarder.guard
-        self.late_ends = forwarder.late_ends
+        self.late_crashes = forwarder.late_crashes
         self.trials: set[asyncio.Task] = set()
 
     async def start(self, call: Call) -> Stream | NotRun | Unknown:
@@ -144,9 +144,9 @@
     def close(self, relayed: Relayed) -> None:
         """Take the end of a stream, and look after the server at which it was cut."""
         ran = relayed.runs > 0 or relayed.server is not None
-        self.guard.close(relayed.permit, ran)
+        self.guard.release_permit(relayed.permit, ran)
         if relayed.server is not None:
-            self.late_ends.watch(relayed.permit, [relayed.server])
+            self.late_crashes.check_servers(relayed.permit, [relayed.server])
 
     async def settle(self, relayed: Relayed, body: AsyncIterator[bytes]):
         """Yield a body, and have the guard learn how it ended."""
@@ -155,7 +155,7 @@
                 async for data in body:
                     yield data
             relayed.server = None
-            self.guard.answered(relayed.permit, relayed.status, relayed.from_start)
+            self.guard.record_answer(relayed.permit, relayed.status, relayed.from_start)
         finally:
             self.close(relayed)
 
@@ -239,8 +239,8 @@
         """Return why it may not go to another server; empty where it may."""
         if not relayed.call.grant.holds:
             return WITHDRAWN
-        allowed = self.guard.allows(relayed.permit, 0, relayed.runs > 0)
-        return "" if allowed else REASON
+        allowed = self.guard.may_send(relayed.permit, 0, relayed.runs > 0)
+        return "" if allowed else HELD_BACK_REASON
 
     def not_opened(self, relayed: Relayed) -> NotRun | Unknown:
         """Return why a stream is not opened at another server."""
@@ -248,8 +248,8 @@
         reason = barred or "no backend server took the stream"
         if relayed.runs:
             return Unknown(reason)
-        if barred == REASON:
-            return self.guard.held_back(relayed.permit.fingerprint)
+        if barred == HELD_BACK_REASON:
+            return self.guard.held_back_outcome(relayed.permit.fingerprint)
         return NotRun(reason, datetime.timedelta(seconds=RETRY_AFTER))
 
     async def open_at(
@@ -280,7 +280,7 @@
         sent = not broke or error.sent
         relayed.runs += sent
         if not broke:
-            self.late_ends.watch(relayed.permit, [server])
+            self.late_crashes.check_servers(relayed.permit, [server])
         gone = broke and await self.sender.gone(error, server)
         if not gone:
             self.pool.failed(server, self.sender.directory.service(server.service))
@@ -294,7 +294,7 @@
         if gone:
             self.pool.crashed(server)
         if gone and sent:
-            self.guard.note_end(relayed.permit, server.start)
+            self.guard.record_crash(relayed.permit, server.start)
         logs.event(
             log,
             "A stream broke.",
--- a/gypsumshift/serving/trialclaims.py
+++ b/gypsumshift/serving/trialclaims.py
@@ -6,36 +6,36 @@
 from gypsumshift.platforms import ABSENT, Row, RowStore, Write
 
 __all__ = [
-    "CRASHES",
-    "TRIAL",
-    "Claim",
+    "CRASHES_TABLE",
+    "TRIAL_KIND",
+    "ClaimResult",
     "TrialClaims",
     "split_key",
     "store_time",
     "trial_key",
 ]
 
-CRASHES = "crashes"
+CRASHES_TABLE = "crashes"
 # Second part of the keys of trials, where those of crashes have a process.
-TRIAL = "trial"
+TRIAL_KIND = "trial"
 
 
-class Claim(enum.Enum):
+class ClaimResult(enum.Enum):
     """Whose a trial is.
 
     Attributes
     ----------
     OWN
         This process is to make it.
-    ANOTHERS
+    OTHER
         Another process makes it, or has.
-    UNSETTLED
+    UNCERTAIN
         The store did not say.
     """
 
     OWN = "own"
-    ANOTHERS = "another's"
-    UNSETTLED = "unsettled"
+    OTHER = "another's"
+    UNCERTAIN = "unsettled"
 
 
 class TrialClaims:
@@ -61,23 +61,23 @@
         self.claimed: dict[str, int] = {}
         self.withdrawn: dict[str, int] = {}
 
-    async def claim(self, key: str) -> Claim:
+    async def claim(self, key: str) -> ClaimResult:
         """Write the row of a trial where there is none."""
         value = {"by": self.session, "at": store_time(self.store)}
-        outcome = await self.store.commit([Write(CRASHES, key, value, ABSENT)])
+        outcome = await self.store.commit([Write(CRASHES_TABLE, key, value, ABSENT)])
         if isinstance(outcome, Committed):
             self.claimed[key] = outcome.version
-            return Claim.OWN
+            return ClaimResult.OWN
         if not isinstance(outcome, Conflict):
-            return Claim.UNSETTLED
+            return ClaimResult.UNCERTAIN
         # It may have met itself, sent twice, or one that was answered too late.
-        row = await self.store.read(CRASHES, key)
-        if not isinstance(row, Row) or not self.is_unused(row):
-            return Claim.ANOTHERS
+        row = await self.store.read(CRASHES_TABLE, key)
+        if not isinstance(row, Row) or not self.is_unacknowledged(row):
+            return ClaimResult.OTHER
         self.claimed[key] = row.version
-        return Claim.OWN
+        return ClaimResult.OWN
 
-    def is_unused(self, row: Row) -> bool:
+    def is_unacknowledged(self, row: Row) -> bool:
         """Tell whether this process claimed a trial without knowing that it had."""
         return row.value.get("by") == self.session and row.key not in self.claimed
 
@@ -87,18 +87,18 @@
         if version is not None:
             self.withdrawn[key] = version
 
-    def note_removal(self, key: str) -> None:
+    def discard_claim(self, key: str) -> None:
         """Take that the row of a trial is removed."""
         self.claimed.pop(key, None)
 
-    async def write_withdrawal(self) -> Written:
+    async def remove_withdrawn_row(self) -> Written:
         """Remove the row of a trial that came to nothing, unless it is a newer one.
 
         The store may carry a removal out once more, and late: another process may
         have claimed the trial by then.
         """
         key, version = next(iter(self.withdrawn.items()))
-        write = Write(CRASHES, key, expected=version)
+        write = Write(CRASHES_TABLE, key, expected=version)
         outcome = await self.store.commit([write])
         if isinstance(outcome, (Committed, Conflict)):
             self.withdrawn.pop(key, None)
@@ -114,7 +114,7 @@
 
 def trial_key(fingerprint: str, number: int) -> str:
     """Return the key of a trial."""
-    return f"{fingerprint}/{TRIAL}/{number}"
+    return f"{fingerprint}/{TRIAL_KIND}/{number}"
 
 
 def store_time(store: RowStore) -> float:
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -9,7 +9,7 @@
 import itertools
 import random
 
-from gypsumshift.crashnews import CrashNews
+from gypsumshift.crashgossip import CrashGossip
 from gypsumshift.gateway import Gateway
 from gypsumshift.outcomes import Answered, Unknown
 from gypsumshift.server import Abandon
@@ -24,10 +24,10 @@
     Target,
 )
 from gypsumshift.serving.admission import Admission, Grant
-from gypsumshift.serving.quarantine import MOST_ENDS
+from gypsumshift.serving.quarantine import CRASH_LIMIT
 from gypsumshift.serving.streams import Stream
 from tests import own_time
-from tests.crash_wires import (
+from tests.crash_fakes import (
     WORK,
     Exchange,
     Flow,
@@ -157,7 +157,7 @@
             METRICS,
         )
         path = Neighbours(self, name)
-        news = CrashNews(gateway.guard.table, path, self.clock, self.chances())
+        news = CrashGossip(gateway.guard.table, path, self.clock, self.chances())
         self.news[name] = news
         gateway.joining.append(news.run)
         self.works[name] = self.begin(gateway.run())
@@ -303,7 +303,7 @@
 
 async def end_three(world, names=("g0",), prefix="/safe/"):
     """Have three servers end under the request, at some gateways."""
-    for number in range(2 * MOST_ENDS):
-        if len(world.ended) >= MOST_ENDS:
+    for number in range(2 * CRASH_LIMIT):
+        if len(world.ended) >= CRASH_LIMIT:
             return
         await world.ask(names[number % len(names)], POISON, prefix)
--- a/tests/jobs_world.py
+++ b/tests/jobs_world.py
@@ -37,7 +37,7 @@
     Service,
     Target,
 )
-from gypsumshift.serving.guard import Guard
+from gypsumshift.serving.crashguard import CrashGuard
 from gypsumshift.watch import run_all
 
 NAMES = HeaderNames(
@@ -198,7 +198,7 @@
         self.hold = asyncio.Event()
         self.hold.set()
         chance = random.Random(1)
-        self.guard = Guard(memory.MemoryTables(), SystemClock(), chance, METRICS)
+        self.guard = CrashGuard(memory.MemoryTables(), SystemClock(), chance, METRICS)
 
     async def forward(self, call):
         self.calls.append(call)
--- a/tests/test_crash_rows.py
+++ b/tests/test_crash_rows.py
@@ -3,28 +3,28 @@
 import asyncio
 
 from gypsumshift.outcomes import Answered
-from gypsumshift.serving.quarantine import MOST_CASES
-from gypsumshift.serving.trialclaims import CRASHES
+from gypsumshift.serving.quarantine import MAX_RECORDS
+from gypsumshift.serving.trialclaims import CRASHES_TABLE
 from tests.crash_world import end_three, play
 
 
 def test_a_flood_of_different_requests_under_which_servers_end_stays_small():
     async def scenario(world):
-        bodies = [b"body-%d" % n for n in range(3 * MOST_CASES)]
+        bodies = [b"body-%d" % n for n in range(3 * MAX_RECORDS)]
         world.fatal = set(bodies)
         guard = world.gateways["g0"].guard
         for body in bodies:
             call = world.call(body)
             permit = await guard.admit(call.fingerprint, call.id)
             for worker in world.workers[:2]:
-                guard.note_end(permit, world.entry(worker).start)
-            guard.close(permit, ran=True)
+                guard.record_crash(permit, world.entry(worker).start)
+            guard.release_permit(permit, ran=True)
             await asyncio.sleep(0.05)
         await asyncio.sleep(20)
         for gateway in world.gateways.values():
-            assert len(gateway.guard.quarantine.cases) <= MOST_CASES
-        rows = [row for row in world.tables.rows if row[0] == CRASHES]
-        assert len(rows) <= 2 * MOST_CASES
+            assert len(gateway.guard.quarantine.records) <= MAX_RECORDS
+        rows = [row for row in world.tables.rows if row[0] == CRASHES_TABLE]
+        assert len(rows) <= 2 * MAX_RECORDS
 
     play(scenario)
 
@@ -39,7 +39,7 @@
             assert isinstance(await asked, Answered)
             await asyncio.sleep(0.5)
         written = [write for way in world.ways.values() for write in way.writes]
-        assert not [write for write in written if write.table == CRASHES]
+        assert not [write for write in written if write.table == CRASHES_TABLE]
 
     play(scenario)
 
@@ -53,8 +53,8 @@
         await world.ask("g0", b"a secret body", workspace="a secret key")
         await asyncio.sleep(0.1)
         written = str(list(world.tables.rows.values()))
-        assert CRASHES in written and "secret" not in written
-        assert "secret" not in str(world.gateways["g1"].guard.quarantine.cases)
+        assert CRASHES_TABLE in written and "secret" not in written
+        assert "secret" not in str(world.gateways["g1"].guard.quarantine.records)
 
     play(scenario)
 
@@ -63,10 +63,10 @@
     async def scenario(world):
         await end_three(world)
         await asyncio.sleep(1)
-        assert [row for row in world.tables.rows if row[0] == CRASHES]
+        assert [row for row in world.tables.rows if row[0] == CRASHES_TABLE]
         await asyncio.sleep(4000)
-        assert not [row for row in world.tables.rows if row[0] == CRASHES]
+        assert not [row for row in world.tables.rows if row[0] == CRASHES_TABLE]
         for gateway in world.gateways.values():
-            assert not gateway.guard.quarantine.cases
+            assert not gateway.guard.quarantine.records
 
     play(scenario)
--- a/tests/test_crashnews.py
+++ b/tests/test_crashgossip.py
@@ -8,21 +8,21 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gypsumshift.crashnews import MOST_TOLD, CrashNews, decode, encode
+from gypsumshift.crashgossip import MAX_PER_MESSAGE, CrashGossip, decode, encode
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import Unavailable
 from gypsumshift.platforms import Row
 from gypsumshift.server import Request
-from gypsumshift.serving.crashtable import WRITTEN_FOR_OTHERS, CrashTable
+from gypsumshift.serving.crashtable import REPORT_WRITE_DELAYS_S, CrashTable
 from gypsumshift.serving.directory import ServerStart
 from gypsumshift.serving.quarantine import (
-    MOST_CRASHES,
-    MOST_ENDS,
-    TRIAL_PAUSES,
+    CRASH_LIMIT,
+    MAX_CRASHES_PER_RECORD,
+    TRIAL_DELAYS_S,
     Crash,
     Quarantine,
 )
-from gypsumshift.serving.trialclaims import CRASHES, trial_key
+from gypsumshift.serving.trialclaims import CRASHES_TABLE, trial_key
 from tests.builders import ManualClock
 
 ANY = st.recursive(
@@ -50,7 +50,7 @@
     quarantine = Quarantine(clock)
     chance = random.Random(1)
     table = CrashTable(store or MemoryTables(), quarantine, clock, chance)
-    return CrashNews(table, NoPath(), clock, chance), table, clock
+    return CrashGossip(table, NoPath(), clock, chance), table, clock
 
 
 def crash(number=0, seen_at=990.0, fingerprint="f"):
@@ -74,22 +74,22 @@
         crashes, trials = decode(news, 1000.0)
     except ValueError:
         return
-    assert len(crashes) <= MOST_TOLD and len(trials) <= MOST_TOLD
+    assert len(crashes) <= MAX_PER_MESSAGE and len(trials) <= MAX_PER_MESSAGE
 
 
 @pytest.mark.parametrize("body", [b"", b"[", b"[]", b"[" * 100_000, b"\xff"])
 def test_a_body_that_is_no_news_is_answered_400(body):
     news, table, _ = make()
     answer = asyncio.run(news.serve(Request("POST", "/", "", [], body)))
-    assert answer.status == 400 and not table.quarantine.cases
+    assert answer.status == 400 and not table.quarantine.records
 
 
 def test_what_neighbours_tell_counts_and_waits_for_the_one_that_saw_it():
     news, table, _ = make()
     for _ in range(2):
-        assert hear(news, map(crash, range(MOST_ENDS))).status == 200
-    assert table.quarantine.holds("f")
-    assert not table.waiting, "who saw them writes them"
+        assert hear(news, map(crash, range(CRASH_LIMIT))).status == 200
+    assert table.quarantine.is_held_back("f")
+    assert not table.pending_writes, "who saw them writes them"
 
 
 def test_what_neighbours_told_is_written_here_where_nobody_else_does():
@@ -97,50 +97,52 @@
     news, table, clock = make()
     table.watch.current_at = clock.monotonic()
     hear(news, map(crash, range(2)))
-    table.take_row(Row(CRASHES, crash(0).key, 1, table.value(crash(0))))
+    table.apply_row(Row(CRASHES_TABLE, crash(0).key, 1, table.row_value(crash(0))))
     table.sweep()
-    assert not table.waiting
-    clock.advance(WRITTEN_FOR_OTHERS[1])
+    assert not table.pending_writes
+    clock.advance(REPORT_WRITE_DELAYS_S[1])
     table.sweep()
-    assert not table.waiting, "cut off, it writes nothing"
+    assert not table.pending_writes, "cut off, it writes nothing"
     table.watch.current_at = clock.monotonic()
     table.sweep()
-    assert list(table.waiting) == [crash(1).key]
+    assert list(table.pending_writes) == [crash(1).key]
 
 
 def test_a_whole_table_leaves_what_it_never_held():
     news, table, _ = make()
     hear(news, [crash(0)])
     value = {"server": "s1", "born": 0, "request": "r", "at": 0.0}
-    table.replace([Row(CRASHES, "f/q/1", 1, value)])
-    assert table.quarantine.ends("f") == 2
-    table.replace([])
-    assert table.quarantine.ends("f") == 1
+    table.apply_snapshot([Row(CRASHES_TABLE, "f/q/1", 1, value)])
+    assert table.quarantine.crash_count("f") == 2
+    table.apply_snapshot([])
+    assert table.quarantine.crash_count("f") == 1
 
 
 def test_a_trial_that_a_neighbour_made_puts_the_own_one_off():
     news, table, clock = make()
-    hear(news, map(crash, range(MOST_ENDS)))
-    clock.advance(TRIAL_PAUSES[0])
-    assert table.quarantine.may_try("f")
+    hear(news, map(crash, range(CRASH_LIMIT)))
+    clock.advance(TRIAL_DELAYS_S[0])
+    assert table.quarantine.is_trial_due("f")
     hear(news, trials=[trial_key("f", 1), "f/trial/none", "g/trial/1"])
-    assert table.quarantine.trials("f") == 1 and not table.quarantine.may_try("f")
+    assert table.quarantine.trial_count("f") == 1 and not table.quarantine.is_trial_due(
+        "f"
+    )
 
 
 def test_what_the_store_takes_at_once_is_not_told_to_neighbours():
     news, table, clock = make()
-    table.tell(crash(seen_at=clock.monotonic()))
-    assert news.untold() == ([], [])
+    table.queue_write(crash(seen_at=clock.monotonic()))
+    assert news.take_unsent() == ([], [])
     clock.advance(1)
-    assert len(news.untold()[0]) == 1
+    assert len(news.take_unsent()[0]) == 1
 
 
 def test_what_is_told_at_once_is_bounded_and_the_newest():
     news, table, clock = make(Down())
-    for number in range(3 * MOST_TOLD):
-        table.tell(crash(number, fingerprint=f"f{number}"))
-    crashes, _ = news.untold()
-    assert len(crashes) == MOST_TOLD and crashes[-1].key.startswith("f59")
+    for number in range(3 * MAX_PER_MESSAGE):
+        table.queue_write(crash(number, fingerprint=f"f{number}"))
+    crashes, _ = news.take_unsent()
+    assert len(crashes) == MAX_PER_MESSAGE and crashes[-1].key.startswith("f59")
 
 
 def test_what_there_is_no_room_to_keep_is_not_passed_on():
@@ -150,25 +152,27 @@
     the simulation never ended, and took 8 GB.
     """
     news, table, clock = make()
-    for number in range(MOST_CRASHES):
-        table.quarantine.take(crash(number, seen_at=number * 2.0))
-    assert not table.learn(crash(MOST_CRASHES))
-    hear(news, [crash(MOST_CRASHES)])
-    assert news.untold() == ([], [])
+    for number in range(MAX_CRASHES_PER_RECORD):
+        table.quarantine.add_crash(crash(number, seen_at=number * 2.0))
+    assert not table.add_reported_crash(crash(MAX_CRASHES_PER_RECORD))
+    hear(news, [crash(MAX_CRASHES_PER_RECORD)])
+    assert news.take_unsent() == ([], [])
 
 
 def test_what_is_new_is_passed_on_once():
     news, table, _ = make()
     hear(news, [crash(1)])
-    assert news.untold() == ([crash(1)], [])
+    assert news.take_unsent() == ([crash(1)], [])
     hear(news, [crash(1)])
-    assert news.untold() == ([], [])
+    assert news.take_unsent() == ([], [])
 
 
 def test_what_is_passed_on_at_once_is_bounded():
     news, table, _ = make()
     for number in range(5):
-        told = [crash(n, fingerprint=f"f{number}.{n}") for n in range(2 * MOST_TOLD)]
+        told = [
+            crash(n, fingerprint=f"f{number}.{n}") for n in range(2 * MAX_PER_MESSAGE)
+        ]
         hear(news, told)
-    assert len(news.passing) <= MOST_TOLD
-    assert len(news.untold()[0]) <= MOST_TOLD
+    assert len(news.to_forward) <= MAX_PER_MESSAGE
+    assert len(news.take_unsent()[0]) <= MAX_PER_MESSAGE
--- a/tests/test_fatal_dispatch.py
+++ b/tests/test_fatal_dispatch.py
@@ -9,7 +9,7 @@
 
 from gypsumshift import Group
 from gypsumshift.fetch import Fetcher
-from gypsumshift.serving.quarantine import MOST_ENDS, TRIAL_PAUSES
+from gypsumshift.serving.quarantine import CRASH_LIMIT, TRIAL_DELAYS_S
 from tests import system
 from tests.builders import ManualClock
 from tests.platform_world import end
@@ -61,11 +61,11 @@
         stop_time(entry)
         ended = make_fragile(sys.services, "run")
         answer = await put(entry, FATAL)
-        assert answer.status == 504 and len(ended) == MOST_ENDS
+        assert answer.status == 504 and len(ended) == CRASH_LIMIT
         answer = await put(entry, FATAL)
         problem = json.loads(answer.body)
         assert answer.status == 503 and problem["outcome"] == "not run"
-        assert len(ended) == MOST_ENDS
+        assert len(ended) == CRASH_LIMIT
         assert (await put(entry, b"sound")).status == 200
 
     system.run(work, engines=0, services=6)
@@ -77,7 +77,7 @@
         for service in sys.services:
             service.faults.cut = 1
         await put(entry, b"sound")
-        assert not entry.dispatcher.guard.quarantine.cases
+        assert not entry.dispatcher.guard.quarantine.records
 
     system.run(work, engines=0, services=2)
 
@@ -92,9 +92,9 @@
             await trainer.submit(groups)
             delivery = await trainer.step(1)
         assert {sample.id.split("/")[0] for sample in delivery.samples} == {"g1", "g2"}
-        await until(lambda: len(ended) == MOST_ENDS)
+        await until(lambda: len(ended) == CRASH_LIMIT)
         await asyncio.sleep(0.3)
-        assert len(ended) == MOST_ENDS
+        assert len(ended) == CRASH_LIMIT
 
     system.run(work, engines=5, services=0)
 
@@ -108,19 +108,19 @@
         async with sys.trainer() as trainer:
             await trainer.submit([Group("g0", "fatal", samples=1)])
             pull = asyncio.create_task(trainer.step(1))
-            for number, pause in enumerate((0, *TRIAL_PAUSES), MOST_ENDS):
+            for number, pause in enumerate((0, *TRIAL_DELAYS_S), CRASH_LIMIT):
                 # And the seconds that this test took, which the ends are told by.
                 quarantine.clock.advance(pause and pause + 60.0)
                 await until(lambda due=number: ends(quarantine) == due)
             await until(lambda: failed_groups(sys))
             pull.cancel()
-        assert len(ended) == MOST_ENDS + len(TRIAL_PAUSES)
+        assert len(ended) == CRASH_LIMIT + len(TRIAL_DELAYS_S)
 
     system.run(work, engines=6, services=0)
 
 
 def ends(quarantine):
-    return sum(case.ends for case in quarantine.cases.values())
+    return sum(record.crash_count for record in quarantine.records.values())
 
 
 def failed_groups(sys):
--- a/tests/test_fatal_items.py
+++ b/tests/test_fatal_items.py
@@ -16,10 +16,14 @@
 from gypsumshift.jobs import Event, ResultState
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import Answered, HeldBack, Unknown
+from gypsumshift.serving.crashguard import HELD_BACK_REASON, CrashGuard
 from gypsumshift.serving.fingerprints import fingerprint
-from gypsumshift.serving.guard import REASON, Guard
-from gypsumshift.serving.quarantine import ENDED_PAUSE, MOST_ENDS, TRIAL_PAUSES
-from gypsumshift.serving.trialclaims import CRASHES
+from gypsumshift.serving.quarantine import (
+    CRASH_LIMIT,
+    FAILED_TRIAL_DELAY_S,
+    TRIAL_DELAYS_S,
+)
+from gypsumshift.serving.trialclaims import CRASHES_TABLE
 from gypsumshift.watch import run_all
 from tests import jobs_world as jw
 from tests import own_time
@@ -105,7 +109,7 @@
     def add(self, name, forwarder, retention):
         engine = self.engines[name] = FragileEngine(self, name)
         chance = random.Random(name)
-        guard = forwarder.guard = Guard(self.store, self.clock, chance, jw.METRICS)
+        guard = forwarder.guard = CrashGuard(self.store, self.clock, chance, jw.METRICS)
         agent = self.agent(name, engine, forwarder=forwarder, clock=self.clock)
         table = jw.routes(version=2, retention=retention)
         agent.station.directory.set_routes(table)
@@ -140,11 +144,11 @@
         await asyncio.sleep(20)
         done = {result.item for result in await world.listed()}
         assert len(done) == 23 and POISON not in done
-        third = world.ended[MOST_ENDS - 1][0]
+        third = world.ended[CRASH_LIMIT - 1][0]
         await asyncio.sleep(60)
-        assert len(world.ended) <= MOST_ENDS + len(TRIAL_PAUSES)
+        assert len(world.ended) <= CRASH_LIMIT + len(TRIAL_DELAYS_S)
         late = [at for at, _ in world.ended if at > third + 3.0]
-        assert len(late) <= MOST_ENDS
+        assert len(late) <= CRASH_LIMIT
 
     play(scenario)
 
@@ -184,21 +188,21 @@
     async def scenario(world):
         world.fatal = {POISON}
         await world.submit(groups=1, size=1)
-        while len(world.ended) < MOST_ENDS:
+        while len(world.ended) < CRASH_LIMIT:
             await asyncio.sleep(0.1)
         world.fatal = set()
-        await asyncio.sleep(TRIAL_PAUSES[0] + 2)
+        await asyncio.sleep(TRIAL_DELAYS_S[0] + 2)
         (result,) = await world.listed()
         assert result.state is ResultState.WHOLE
         # Its last engine made the rest only; the next one that makes all of it says
         # that it is sound.
-        assert [row for row in world.store.rows if row[0] == CRASHES]
-        await asyncio.sleep(TRIAL_PAUSES[1])
+        assert [row for row in world.store.rows if row[0] == CRASHES_TABLE]
+        await asyncio.sleep(TRIAL_DELAYS_S[1])
         body = jw.items(groups=1, size=1, step="job")[0].body
         await world.submit("again", groups=1, size=1, body=body)
         await asyncio.sleep(2)
         assert len(await world.listed("again")) == 1
-        assert not [row for row in world.store.rows if row[0] == CRASHES]
+        assert not [row for row in world.store.rows if row[0] == CRASHES_TABLE]
 
     play(scenario)
 
@@ -239,9 +243,9 @@
             return await super().forward(call)
         self.calls.append(call)
         HoldsOne.sent += 1
-        if HoldsOne.sent <= MOST_ENDS:
+        if HoldsOne.sent <= CRASH_LIMIT:
             return Unknown("its server ended")
-        return HeldBack(REASON, datetime.timedelta(seconds=5))
+        return HeldBack(HELD_BACK_REASON, datetime.timedelta(seconds=5))
 
 
 def test_a_reward_call_that_is_held_back_holds_up_no_other():
@@ -251,7 +255,7 @@
         await asyncio.sleep(10)
         done = {result.item for result in await world.listed()}
         assert len(done) == 7 and POISON not in done
-        assert HoldsOne.sent <= MOST_ENDS + 10, "it asks about once a second"
+        assert HoldsOne.sent <= CRASH_LIMIT + 10, "it asks about once a second"
         (agent,) = world.agents.values()
         assert agent.runner.scoring == 0
 
@@ -277,7 +281,7 @@
     class LetsThrough(HoldsOne):
         async def forward(self, call):
             answer = await super().forward(call)
-            late = isinstance(answer, HeldBack) and HoldsOne.sent > MOST_ENDS + 2
+            late = isinstance(answer, HeldBack) and HoldsOne.sent > CRASH_LIMIT + 2
             score = ((jw.NAMES.signature, f"signed-{call.id}"),)
             return Answered(200, score) if late else answer
 
@@ -296,7 +300,7 @@
     item = next(i for i in jw.items(6, 4, step=job) if i.id == item_id)
     name = fingerprint("POST", jw.HOST, item.path, "", item.body)
     guards = (agent.runner.forwarder.guard for agent in world.agents.values())
-    return max(guard.quarantine.ends(name) for guard in guards)
+    return max(guard.quarantine.crash_count(name) for guard in guards)
 
 
 async def late(world, job):
@@ -328,13 +332,13 @@
         await asyncio.sleep(45)
         for job in jobs:
             for item in await late(world, job):
-                assert ends_under(world, job, item) > MOST_ENDS, item
-        await asyncio.sleep(ENDED_PAUSE)
+                assert ends_under(world, job, item) > CRASH_LIMIT, item
+        await asyncio.sleep(FAILED_TRIAL_DELAY_S)
         for job in jobs:
             done = {result.item for result in await world.listed(job)}
             assert len(done) == 23 and not done & world.fatal
         for item in world.fatal:
             ended = [at for at, under in world.ended if under == item]
-            assert len(ended) <= MOST_ENDS + len(TRIAL_PAUSES) + 1
+            assert len(ended) <= CRASH_LIMIT + len(TRIAL_DELAYS_S) + 1
 
     play(scenario)
--- a/tests/test_fatal_machine.py
+++ b/tests/test_fatal_machine.py
@@ -12,7 +12,7 @@
 import pytest
 
 from gypsumshift.outcomes import Answered
-from gypsumshift.serving.quarantine import MOST_CASES
+from gypsumshift.serving.quarantine import MAX_RECORDS
 from tests import own_time
 from tests.crash_world import KINDS, CrashWorld
 
@@ -145,7 +145,7 @@
             late = {r.request for r in late if self.in_touch(r.sender, r.at)}
             assert len(late) <= RETRIES_LEFT, (body, late)
         for name, gateway in self.gateways.items():
-            assert len(gateway.guard.quarantine.cases) <= MOST_CASES
+            assert len(gateway.guard.quarantine.records) <= MAX_RECORDS
             assert isinstance(await self.ask(name, b"popular"), Answered), name
 
 
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -23,10 +23,10 @@
 import functools
 
 from gypsumshift.outcomes import Answered, HeldBack, NotRun, Unknown
-from gypsumshift.serving.guard import REASON
-from gypsumshift.serving.quarantine import MOST_ENDS, TRIAL_PAUSES
-from gypsumshift.serving.trialclaims import CRASHES
-from tests.crash_wires import EVENTS
+from gypsumshift.serving.crashguard import HELD_BACK_REASON
+from gypsumshift.serving.quarantine import CRASH_LIMIT, TRIAL_DELAYS_S
+from gypsumshift.serving.trialclaims import CRASHES_TABLE
+from tests.crash_fakes import EVENTS
 from tests.crash_world import BACK_AFTER, POISON, TOLD_AFTER, end_three, play
 
 # Seconds within which all gateways know, and sends that they may make behind them.
@@ -50,7 +50,7 @@
         await world.keep_asking(POISON, 20, 0.25)
         outcomes = sum(await asyncio.gather(*sound), [])
         check_held_back(world)
-        assert len(world.ended) <= MOST_ENDS + len(TRIAL_PAUSES)
+        assert len(world.ended) <= CRASH_LIMIT + len(TRIAL_DELAYS_S)
         assert all(isinstance(outcome, Answered) for outcome in outcomes)
 
     play(scenario)
@@ -61,7 +61,7 @@
         for name in world.gateways:
             await world.ask(name, POISON)
             await asyncio.sleep(0.2)
-        assert len(world.ended) == MOST_ENDS
+        assert len(world.ended) == CRASH_LIMIT
         for name in world.gateways:
             assert isinstance(await world.ask(name, POISON), NotRun)
 
@@ -75,19 +75,19 @@
         await asyncio.sleep(0.2)
         for name in world.gateways:
             assert isinstance(await world.ask(name, POISON), NotRun)
-        assert world.clock.monotonic() - began < TRIAL_PAUSES[0], "none was a trial"
-        assert len(world.ended) == MOST_ENDS
+        assert world.clock.monotonic() - began < TRIAL_DELAYS_S[0], "none was a trial"
+        assert len(world.ended) == CRASH_LIMIT
 
     play(scenario, gateways=39, servers=9)
 
 
 def test_a_request_that_may_not_be_repeated_is_held_back():
     async def scenario(world):
-        for _ in range(MOST_ENDS):
+        for _ in range(CRASH_LIMIT):
             assert isinstance(await world.ask("g0", POISON, "/once/"), Unknown)
         outcome = await world.ask("g0", POISON, "/once/")
-        assert outcome == HeldBack(REASON, outcome.retry_after)
-        assert len(world.runs_of(POISON)) == MOST_ENDS
+        assert outcome == HeldBack(HELD_BACK_REASON, outcome.retry_after)
+        assert len(world.runs_of(POISON)) == CRASH_LIMIT
         await world.keep_asking(POISON, 20, 0.25, prefix="/once/")
         check_held_back(world)
 
@@ -97,8 +97,10 @@
 def test_a_call_that_asked_two_servers_at_once_ends_three_at_the_most():
     async def scenario(world):
         outcome = await world.ask("g0", POISON)
-        assert outcome == Unknown(REASON), "it ran, so it is not called refused"
-        assert len(world.ended) == MOST_ENDS
+        assert outcome == Unknown(HELD_BACK_REASON), (
+            "it ran, so it is not called refused"
+        )
+        assert len(world.ended) == CRASH_LIMIT
         assert world.runs[1].at < world.ended[0][0], "two ran at once"
 
     play(scenario, attempts=5)
@@ -108,7 +110,7 @@
     async def scenario(world, prefix):
         await world.keep_asking(POISON, 20, 0.25, prefix=prefix)
         check_held_back(world)
-        assert len(world.ended) <= MOST_ENDS + len(TRIAL_PAUSES)
+        assert len(world.ended) <= CRASH_LIMIT + len(TRIAL_DELAYS_S)
         whole = await world.ask("g0", b"sound", prefix)
         assert whole.body.count(b"data") == EVENTS
 
@@ -139,7 +141,7 @@
         assert outcome.body.count(b"data") == EVENTS
         await world.ask("g1", b"sound", "/resumed/")
         await asyncio.sleep(0.1)
-        assert not [row for row in world.tables.rows if row[0] == CRASHES]
+        assert not [row for row in world.tables.rows if row[0] == CRASHES_TABLE]
 
     play(scenario, attempts=3)
 
@@ -174,7 +176,7 @@
             await world.ask_and_leave(f"g{number % 3}", b"sound", "/safe/", after=0.01)
         await asyncio.sleep(1)
         for gateway in world.gateways.values():
-            assert not gateway.guard.quarantine.cases
+            assert not gateway.guard.quarantine.records
         assert world.opened <= len(world.runs), "no connection more for any of them"
 
     play(scenario)
@@ -186,7 +188,7 @@
     async def scenario(world):
         await world.keep_asking(POISON, 20, 0.5, prefix="/resumed/")
         check_held_back(world)
-        assert len(world.ended) <= MOST_ENDS + len(TRIAL_PAUSES) + 1
+        assert len(world.ended) <= CRASH_LIMIT + len(TRIAL_DELAYS_S) + 1
 
     play(scenario, attempts=4)
 
@@ -234,8 +236,8 @@
         began = world.clock.monotonic()
         outcome = await world.ask("g0", POISON)
         assert world.clock.monotonic() == began
-        first = datetime.timedelta(seconds=TRIAL_PAUSES[0])
-        assert outcome == HeldBack(REASON, outcome.retry_after)
+        first = datetime.timedelta(seconds=TRIAL_DELAYS_S[0])
+        assert outcome == HeldBack(HELD_BACK_REASON, outcome.retry_after)
         assert datetime.timedelta(0) < outcome.retry_after <= first
 
     play(scenario)
@@ -266,7 +268,7 @@
         await asyncio.sleep(0.1)
         for name in world.gateways:
             assert isinstance(await world.ask(name, POISON), NotRun)
-        assert len(world.ended) == MOST_ENDS
+        assert len(world.ended) == CRASH_LIMIT
 
     play(scenario)
 
@@ -291,7 +293,7 @@
             way.down = True
         await asyncio.sleep(3)
         await world.keep_asking(POISON, 30, 0.25)
-        assert len(world.ended) <= 2 * (MOST_ENDS + len(TRIAL_PAUSES))
+        assert len(world.ended) <= 2 * (CRASH_LIMIT + len(TRIAL_DELAYS_S))
 
     for seed in range(5):
         play(scenario, seed=seed, gateways=9, servers=9)
@@ -304,7 +306,7 @@
         await asyncio.sleep(3)
         await world.keep_asking(POISON, 30, 0.25, ["g0"])
         # One trial is left to a process that nobody can tell of others.
-        assert len(world.runs_of(POISON)) == MOST_ENDS + 1
+        assert len(world.runs_of(POISON)) == CRASH_LIMIT + 1
         assert isinstance(await world.ask("g0", b"sound"), Answered)
 
     play(scenario)
@@ -336,7 +338,7 @@
             way.lose = 0.7
         await world.keep_asking(POISON, 40, 0.25)
         check_held_back(world)
-        assert len(world.ended) <= MOST_ENDS + len(TRIAL_PAUSES)
+        assert len(world.ended) <= CRASH_LIMIT + len(TRIAL_DELAYS_S)
 
     for seed in range(5):
         play(scenario, seed=seed)
@@ -363,12 +365,12 @@
         world.fatal = set()
         await asyncio.sleep(0.1)
         assert isinstance(await world.ask("g2", b"sound"), NotRun)
-        await asyncio.sleep(TRIAL_PAUSES[0])
+        await asyncio.sleep(TRIAL_DELAYS_S[0])
         assert isinstance(await world.ask("g2", b"sound"), Answered)
         await asyncio.sleep(0.1)
         outcomes = await world.keep_asking(b"sound", 2, 0.02)
         assert all(isinstance(outcome, Answered) for outcome in outcomes)
-        assert not [row for row in world.tables.rows if row[0] == CRASHES]
+        assert not [row for row in world.tables.rows if row[0] == CRASHES_TABLE]
 
     play(scenario)
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -12,19 +12,19 @@
 
 from gypsumshift.serving.directory import ServerStart
 from gypsumshift.serving.quarantine import (
-    ENDED_PAUSE,
-    FORGOTTEN,
-    MOST_CASES,
-    MOST_CRASHES,
-    MOST_ENDS,
-    SAME_END,
-    TRIAL_PAUSES,
+    CRASH_LIMIT,
+    CRASH_RETENTION_S,
+    DUPLICATE_WINDOW_S,
+    FAILED_TRIAL_DELAY_S,
+    MAX_CRASHES_PER_RECORD,
+    MAX_RECORDS,
+    TRIAL_DELAYS_S,
     Crash,
     Quarantine,
 )
 from tests.builders import ManualClock
 
-FIRST, SECOND = TRIAL_PAUSES
+FIRST, SECOND = TRIAL_DELAYS_S
 
 
 def crash(clock, key, fingerprint="f", server=None, born=0):
@@ -37,23 +37,23 @@
     clock = ManualClock()
     quarantine = Quarantine(clock)
     for number in range(ends):
-        quarantine.take(crash(clock, f"{fingerprint}{number}", fingerprint))
+        quarantine.add_crash(crash(clock, f"{fingerprint}{number}", fingerprint))
     return quarantine, clock
 
 
 def test_a_request_is_held_back_once_three_servers_ended_under_it():
-    quarantine, _ = make(ends=MOST_ENDS - 1)
-    assert not quarantine.holds("f")
-    quarantine, _ = make(ends=MOST_ENDS)
-    assert quarantine.holds("f") and not quarantine.holds("another")
+    quarantine, _ = make(ends=CRASH_LIMIT - 1)
+    assert not quarantine.is_held_back("f")
+    quarantine, _ = make(ends=CRASH_LIMIT)
+    assert quarantine.is_held_back("f") and not quarantine.is_held_back("another")
 
 
 def test_one_end_that_several_processes_tell_counts_once():
     quarantine, clock = make()
     for key in range(5):
-        quarantine.take(crash(clock, key, server="s"))
-        clock.advance(SAME_END / 10)
-    assert quarantine.ends("f") == 1
+        quarantine.add_crash(crash(clock, key, server="s"))
+        clock.advance(DUPLICATE_WINDOW_S / 10)
+    assert quarantine.crash_count("f") == 1
 
 
 def test_a_crash_that_is_told_twice_counts_once():
@@ -61,127 +61,127 @@
     told = crash(clock, "a")
     clock.advance(5)
     for _ in range(2):
-        quarantine.take(told)
-    assert quarantine.ends("f") == 1
+        quarantine.add_crash(told)
+    assert quarantine.crash_count("f") == 1
 
 
 def test_a_server_that_tells_no_start_and_ends_again_counts_again():
     quarantine, clock = make()
-    for key in range(MOST_ENDS):
-        quarantine.take(crash(clock, key, server="s"))
+    for key in range(CRASH_LIMIT):
+        quarantine.add_crash(crash(clock, key, server="s"))
         clock.advance(3)
-    assert quarantine.holds("f")
+    assert quarantine.is_held_back("f")
 
 
 def test_a_request_that_only_ran_beside_one_that_ended_more_is_let_go():
-    quarantine, clock = make(ends=MOST_ENDS)
-    for number in range(MOST_ENDS):
+    quarantine, clock = make(ends=CRASH_LIMIT)
+    for number in range(CRASH_LIMIT):
         beside = crash(clock, f"beside {number}", "beside", server=f"s-f{number}")
-        quarantine.take(beside)
-    assert quarantine.holds("f") and quarantine.holds("beside")
-    quarantine.take(crash(clock, "f trial"))
-    assert quarantine.holds("f") and not quarantine.holds("beside")
-    quarantine.take(crash(clock, "alone", "beside"))
-    assert quarantine.holds("beside"), "this one it did not run beside"
+        quarantine.add_crash(beside)
+    assert quarantine.is_held_back("f") and quarantine.is_held_back("beside")
+    quarantine.add_crash(crash(clock, "f trial"))
+    assert quarantine.is_held_back("f") and not quarantine.is_held_back("beside")
+    quarantine.add_crash(crash(clock, "alone", "beside"))
+    assert quarantine.is_held_back("beside"), "this one it did not run beside"
 
 
 def test_two_that_are_held_back_are_not_tried_side_by_side():
     """Each is blamed for the end of the one server: a sound one lost its trial so."""
-    quarantine, clock = make(ends=MOST_ENDS)
-    for number in range(MOST_ENDS):
-        quarantine.take(crash(clock, f"g{number}", "g"))
-    for number in range(MOST_ENDS - 1):
-        quarantine.take(crash(clock, f"h{number}", "h"))
-    assert quarantine.keeps_apart("f", ["h", "g", "unknown"])
-    assert not quarantine.keeps_apart("f", ["f", "h", "unknown"])
-    assert not quarantine.keeps_apart("h", ["f", "g"])
+    quarantine, clock = make(ends=CRASH_LIMIT)
+    for number in range(CRASH_LIMIT):
+        quarantine.add_crash(crash(clock, f"g{number}", "g"))
+    for number in range(CRASH_LIMIT - 1):
+        quarantine.add_crash(crash(clock, f"h{number}", "h"))
+    assert quarantine.must_run_apart("f", ["h", "g", "unknown"])
+    assert not quarantine.must_run_apart("f", ["f", "h", "unknown"])
+    assert not quarantine.must_run_apart("h", ["f", "g"])
 
 
 def test_an_answer_clears_a_request():
-    quarantine, _ = make(ends=MOST_ENDS)
+    quarantine, _ = make(ends=CRASH_LIMIT)
     assert sorted(quarantine.clear("f")) == ["f0", "f1", "f2"]
-    assert not quarantine.holds("f") and not quarantine.cases
+    assert not quarantine.is_held_back("f") and not quarantine.records
 
 
 def test_trials_are_few_and_wait_longer_each_time():
-    quarantine, clock = make(ends=MOST_ENDS)
-    for number, pause in enumerate((FIRST, ENDED_PAUSE), 1):
-        assert not quarantine.may_try("f")
-        assert quarantine.pause("f") == pause
+    quarantine, clock = make(ends=CRASH_LIMIT)
+    for number, pause in enumerate((FIRST, FAILED_TRIAL_DELAY_S), 1):
+        assert not quarantine.is_trial_due("f")
+        assert quarantine.seconds_to_trial("f") == pause
         clock.advance(pause)
-        assert quarantine.may_try("f")
-        quarantine.note_trial("f", number)
+        assert quarantine.is_trial_due("f")
+        quarantine.record_trial("f", number)
         clock.advance(0.125)
-        quarantine.take(crash(clock, f"trial {number}"))
+        quarantine.add_crash(crash(clock, f"trial {number}"))
     clock.advance(100)
-    assert not quarantine.may_try("f")
-    assert quarantine.pause("f") == FORGOTTEN - 100
+    assert not quarantine.is_trial_due("f")
+    assert quarantine.seconds_to_trial("f") == CRASH_RETENTION_S - 100
 
 
 def test_a_trial_under_which_no_server_ended_is_made_again_before_long():
-    quarantine, clock = make(ends=MOST_ENDS)
+    quarantine, clock = make(ends=CRASH_LIMIT)
     clock.advance(FIRST)
-    quarantine.note_trial("f", 1)
+    quarantine.record_trial("f", 1)
     clock.advance(SECOND)
-    assert quarantine.may_try("f")
+    assert quarantine.is_trial_due("f")
 
 
 def test_a_trial_that_no_server_took_is_made_again_soon():
-    quarantine, clock = make(ends=MOST_ENDS)
+    quarantine, clock = make(ends=CRASH_LIMIT)
     clock.advance(FIRST)
-    quarantine.note_trial("f", 1)
+    quarantine.record_trial("f", 1)
     clock.advance(SECOND)
-    quarantine.note_trial("f", 2)
+    quarantine.record_trial("f", 2)
     quarantine.withdraw_trial("f", 2)
-    assert quarantine.pause("f") == FIRST
+    assert quarantine.seconds_to_trial("f") == FIRST
     clock.advance(FIRST)
-    assert quarantine.may_try("f")
+    assert quarantine.is_trial_due("f")
 
 
 def test_a_trial_that_another_process_makes_is_told_once_and_never_back():
-    quarantine, clock = make(ends=MOST_ENDS)
+    quarantine, clock = make(ends=CRASH_LIMIT)
     clock.advance(FIRST)
-    quarantine.note_trial("f", 2)
-    quarantine.note_trial("f", 1)
-    assert quarantine.trials("f") == 2
+    quarantine.record_trial("f", 2)
+    quarantine.record_trial("f", 1)
+    assert quarantine.trial_count("f") == 2
     quarantine.withdraw_trial("f", 1)
-    assert quarantine.trials("f") == 2
+    assert quarantine.trial_count("f") == 2
 
 
 def test_ends_are_forgotten_after_an_hour():
-    quarantine, clock = make(ends=MOST_ENDS)
-    clock.advance(FORGOTTEN - 1)
-    quarantine.forget_old()
-    assert quarantine.holds("f")
+    quarantine, clock = make(ends=CRASH_LIMIT)
+    clock.advance(CRASH_RETENTION_S - 1)
+    quarantine.remove_expired()
+    assert quarantine.is_held_back("f")
     clock.advance(2)
-    quarantine.forget_old()
-    assert not quarantine.cases
+    quarantine.remove_expired()
+    assert not quarantine.records
 
 
 def test_what_is_too_old_when_it_is_told_is_not_taken():
     quarantine, clock = make()
     old = crash(clock, "a")
-    clock.advance(FORGOTTEN + 1)
-    assert quarantine.take(old) == [] and not quarantine.cases
+    clock.advance(CRASH_RETENTION_S + 1)
+    assert quarantine.add_crash(old) == [] and not quarantine.records
 
 
 def test_a_flood_of_different_requests_stays_small_and_leaves_who_is_held_back():
-    quarantine, clock = make(ends=MOST_ENDS)
+    quarantine, clock = make(ends=CRASH_LIMIT)
     removed = []
-    for number in range(10 * MOST_CASES):
+    for number in range(10 * MAX_RECORDS):
         clock.advance(0.01)
-        removed += quarantine.take(crash(clock, number, f"other {number}"))
-        assert len(quarantine.cases) <= MOST_CASES
-    assert quarantine.holds("f")
+        removed += quarantine.add_crash(crash(clock, number, f"other {number}"))
+        assert len(quarantine.records) <= MAX_RECORDS
+    assert quarantine.is_held_back("f")
     assert removed[:2] == [0, 1], "the oldest make room, and their rows are known"
 
 
 def test_what_is_kept_of_one_request_is_bounded():
     quarantine, clock = make()
-    for key in range(10 * MOST_CRASHES):
+    for key in range(10 * MAX_CRASHES_PER_RECORD):
         clock.advance(2)
-        quarantine.take(crash(clock, key))
-    assert len(quarantine.crashes("f")) == MOST_CRASHES
+        quarantine.add_crash(crash(clock, key))
+    assert len(quarantine.crashes("f")) == MAX_CRASHES_PER_RECORD
 
 
 class Machine(RuleBasedStateMachine):
@@ -201,8 +201,8 @@
     def crash(self, name, server):
         self.keys += 1
         told = crash(self.clock, self.keys, name, server, born=1)
-        self.quarantine.take(told)
-        if len(self.known[name]) < MOST_CRASHES:
+        self.quarantine.add_crash(told)
+        if len(self.known[name]) < MAX_CRASHES_PER_RECORD:
             self.known[name][told.key] = told
 
     @rule(seconds=st.floats(0.0, 30.0))
@@ -214,13 +214,15 @@
         assert sorted(self.quarantine.clear(name)) == sorted(self.known.pop(name, {}))
         self.made[name] = 0
 
-    @precondition(lambda self: any(map(self.quarantine.may_try, "fgh")))
+    @precondition(lambda self: any(map(self.quarantine.is_trial_due, "fgh")))
     @rule(name=names, taken=st.booleans())
     def try_again(self, name, taken):
-        if not self.quarantine.holds(name) or not self.quarantine.may_try(name):
+        if not self.quarantine.is_held_back(name) or not self.quarantine.is_trial_due(
+            name
+        ):
             return
-        number = self.quarantine.trials(name) + 1
-        self.quarantine.note_trial(name, number)
+        number = self.quarantine.trial_count(name) + 1
+        self.quarantine.record_trial(name, number)
         if taken:
             self.made[name] += 1
         else:
@@ -231,7 +233,7 @@
         if self.known[name]:
             key = next(iter(self.known[name]))
             del self.known[name][key]
-            self.quarantine.drop(name, key)
+            self.quarantine.remove_crash(name, key)
         if not self.known[name]:
             self.made[name] = 0
 
@@ -239,12 +241,12 @@
     def ends_are_counted_by_server(self):
         for name, known in self.known.items():
             servers = {told.start.id for told in known.values()}
-            assert self.quarantine.ends(name) >= len(servers)
-            assert bool(self.quarantine.ends(name)) == bool(servers)
+            assert self.quarantine.crash_count(name) >= len(servers)
+            assert bool(self.quarantine.crash_count(name)) == bool(servers)
 
     @invariant()
     def trials_are_few(self):
-        assert all(count <= len(TRIAL_PAUSES) for count in self.made.values())
+        assert all(count <= len(TRIAL_DELAYS_S) for count in self.made.values())
 
 
 TestQuarantine = Machine.TestCase
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -8,23 +8,23 @@
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import Answered, HeldBack
 from gypsumshift.platforms import Row, Write
-from gypsumshift.serving.crashtable import MOST_WAITING, SWEEP_PERIOD, CrashTable
+from gypsumshift.serving.crashtable import MAX_QUEUED_ROWS, SWEEP_PERIOD_S, CrashTable
 from gypsumshift.serving.quarantine import (
-    ENDED_PAUSE,
-    FORGOTTEN,
-    MOST_ENDS,
-    TRIAL_PAUSES,
+    CRASH_LIMIT,
+    CRASH_RETENTION_S,
+    FAILED_TRIAL_DELAY_S,
+    TRIAL_DELAYS_S,
     Quarantine,
 )
-from gypsumshift.serving.trialclaims import CRASHES, trial_key
+from gypsumshift.serving.trialclaims import CRASHES_TABLE, trial_key
 from tests.builders import ManualClock
 from tests.crash_world import BACK_AFTER, KINDS, POISON, TOLD_AFTER, end_three, play
 
-FIRST = TRIAL_PAUSES[0]
+FIRST = TRIAL_DELAYS_S[0]
 
 
 def rows(world):
-    return [key for table, _, key in world.tables.rows if table == CRASHES]
+    return [key for table, _, key in world.tables.rows if table == CRASHES_TABLE]
 
 
 async def held(world, name="g0"):
@@ -83,7 +83,7 @@
         assert isinstance(await world.ask("g0", POISON), HeldBack)
         world.ways["g0"].slow = 0.0
         await asyncio.sleep(2 * FIRST)
-        assert world.gateways["g0"].guard.quarantine.trials(fingerprint) == 0
+        assert world.gateways["g0"].guard.quarantine.trial_count(fingerprint) == 0
         assert isinstance(await world.ask("g0", POISON), Answered)
 
     play(scenario)
@@ -108,11 +108,13 @@
     async def scenario(world):
         await held(world)
         await world.ask("g0", POISON)
-        await asyncio.sleep(0.7 * TRIAL_PAUSES[1])
+        await asyncio.sleep(0.7 * TRIAL_DELAYS_S[1])
         gateway = world.start_gateway("g1")
         await asyncio.sleep(0.1)
-        pause = gateway.guard.quarantine.pause(world.call(POISON).fingerprint)
-        assert 0 < pause < ENDED_PAUSE - 0.6 * TRIAL_PAUSES[1]
+        pause = gateway.guard.quarantine.seconds_to_trial(
+            world.call(POISON).fingerprint
+        )
+        assert 0 < pause < FAILED_TRIAL_DELAY_S - 0.6 * TRIAL_DELAYS_S[1]
 
     play(scenario)
 
@@ -128,12 +130,12 @@
         beside = world.call(b"beside")
         permit = await guard.admit(beside.fingerprint, "r")
         for start in starts:
-            guard.note_end(permit, start)
-        guard.close(permit, ran=True)
+            guard.record_crash(permit, start)
+        guard.release_permit(permit, ran=True)
         assert isinstance(await world.ask("g0", b"beside"), HeldBack)
         await asyncio.sleep(BACK_AFTER + TOLD_AFTER)
         await world.ask("g1", POISON)
-        assert len(world.ended) == MOST_ENDS + 1
+        assert len(world.ended) == CRASH_LIMIT + 1
         await asyncio.sleep(0.1)
         for name in world.gateways:
             assert isinstance(await world.ask(name, b"beside"), Answered)
@@ -144,13 +146,13 @@
 def test_a_gateway_that_was_told_once_stays_ready_while_history_is_lost():
     async def scenario(world):
         guard = world.gateways["g0"].guard
-        assert guard.informed
+        assert guard.loaded
         world.ways["g0"].down = True
         world.tables.forget()
         for number in range(3):
             await world.tables.commit([Write("other", f"{number}", {})])
         guard.table.watch.version = -1
-        assert guard.informed
+        assert guard.loaded
 
     play(scenario)
 
@@ -159,10 +161,10 @@
     clock = ManualClock()
     chance = random.Random(1)
     table = CrashTable(MemoryTables(), Quarantine(clock), clock, chance)
-    for number in range(3 * MOST_WAITING):
-        row = Row(CRASHES, f"f{number}/x/1", number, {"at": 0.0})
+    for number in range(3 * MAX_QUEUED_ROWS):
+        row = Row(CRASHES_TABLE, f"f{number}/x/1", number, {"at": 0.0})
         table.watch.rows["", row.key] = row
-    table.store.now = lambda: datetime.timedelta(seconds=2 * FORGOTTEN)
-    clock.advance(SWEEP_PERIOD)
+    table.store.now = lambda: datetime.timedelta(seconds=2 * CRASH_RETENTION_S)
+    clock.advance(SWEEP_PERIOD_S)
     table.sweep()
-    assert len(table.leaving) == MOST_WAITING
+    assert len(table.pending_removals) == MAX_QUEUED_ROWS
