--- a/gypsumshift/serving/quarantine.py
+++ b/gypsumshift/serving/quarantine.py
@@ -1,14 +1,14 @@
-"""Quarantine: which requests are held back because backend servers ended under them.
+"""Quarantine of requests that crashed several backend servers.
 
-The decision answers a request that ends each server that runs it and comes again, under
-a new id and at any process: whatever one call counts, each new call ends more. So ends
-are remembered by what is the same each time, its fingerprint, and a request under which
-three servers ended is held back.
+A request that crashes every server that runs it may be sent again under a new id and
+to any process, so a limit within one call would not stop it. Crashes are therefore
+counted by the request's fingerprint, which is the same each time. After three crashes
+the request is held back, that is, not sent to servers.
 
-One that is sound can come under this by chance, most likely where all servers of its
-service are lost at once, or beside one that ends them. So any answer of a server clears
-a request, and one that is held back is tried again: by one process and at one server
-each time, twice in all.
+A sound request can reach this limit by chance, most likely when all servers of its
+service are lost at once, or when it runs beside a request that crashes them. Any answer
+of a server therefore clears a request, and a held-back request is retried in trials: at
+most two, each made by one process at one server.
 """
 
 import heapq
@@ -22,46 +22,47 @@
 
 __all__ = ["CRASH_LIMIT", "MAX_REQUEST_ID_LENGTH", "Crash", "Quarantine"]
 
-# Servers that end under a request until it is held back. A call and its repetition
-# can meet two that are lost with their hosts.
+# Number of server crashes at which a request is held back. A call and its retry can
+# meet two servers that were lost together with their hosts, hence not two.
 CRASH_LIMIT = 3
-# Servers that ended under two requests from which on these are not run side by side.
+# Number of crashed servers that two requests have in common at which these requests are
+# no longer run at the same server at the same time.
 SHARED_CRASH_LIMIT = 2
-# Seconds until a request that is held back is tried again, for each of its trials.
+# Delay before each trial of a held-back request; its length is the number of trials.
 TRIAL_DELAYS_S = (1.0, 20.0)
-# The same behind a trial under which its server ended: a fourth end by chance is rare,
-# and each trial of a bad one costs a server.
+# Delay before the next trial if the last one crashed its server: a fourth crash by
+# chance is rare, and each trial of a request that crashes servers costs one.
 FAILED_TRIAL_DELAY_S = 300.0
-# Seconds for which an end is remembered.
+# Time after which a crash is removed from the records.
 CRASH_RETENTION_S = 3600.0
-# Seconds within which several processes tell of the same end of a server: one that has
-# no start to be known by is not back sooner.
+# Crashes of the same server start within this time are reports by several processes of
+# one crash. A server that reports no start time takes longer than this to restart.
 DUPLICATE_WINDOW_S = 1.0
-# Requests that are remembered, and crashes of each: with these 4 MB at the most.
+# Maximum number of requests with records, and of crashes in each: 4 MB at the most.
 MAX_RECORDS = 512
 MAX_CRASHES_PER_RECORD = 16
-# Requests that make room at once: each time, all are looked at.
+# Number of records evicted at once, since each eviction ranks all records.
 EVICTION_BATCH = 32
-# Letters that are kept of the id under which a request came: callers choose them.
+# Characters kept of a request id. Callers choose the ids, so their length is limited.
 MAX_REQUEST_ID_LENGTH = 64
 
 
 @attrs.frozen
 class Crash:
-    """A backend server that ended while it ran a request, as one process saw it.
+    """Crash of a backend server while it ran a request, as observed by one process.
 
     Attributes
     ----------
     key : str
-        Unique over all processes.
+        Key of the crash, unique across all processes.
     fingerprint : str
-        Of the request.
+        Fingerprint of the request.
     request : str
-        Id under which the request had come.
+        Id under which the request was received.
     start : ServerStart
-        What ended.
+        The server start that crashed.
     seen_at : float
-        By the monotonic clock here, in seconds.
+        Time of the crash in seconds, by the monotonic clock of this process.
     """
 
     key: str
@@ -73,18 +74,18 @@
 
 @attrs.define
 class RequestRecord:
-    """What is known of one request.
+    """Crashes and trials of one request.
 
     Attributes
     ----------
     crashes : dict
         `Crash` by key.
-    trials : int
-        Times that it was tried while it was held back.
-    quiet_since : float
-        When a server ended under it, or it was tried, the last time.
-    tried_at : float
-        When it was tried the last time.
+    trial_count : int
+        Number of trials made while the request was held back.
+    last_event_at : float
+        Time of the last crash or trial.
+    last_trial_at : float
+        Time of the last trial; infinite before the first one.
     """
 
     crashes: dict[str, Crash] = attrs.field(factory=dict)
@@ -94,21 +95,21 @@
 
     @property
     def crash_count(self) -> int:
-        """Servers that ended: what several processes tell of one counts once."""
-        ends = 0
-        counted: dict[ServerStart, float] = {}
+        """Number of crashes; several reports of the same crash count once."""
+        count = 0
+        last_counted: dict[ServerStart, float] = {}
         for crash in sorted(self.crashes.values(), key=lambda crash: crash.seen_at):
             if (
-                crash.seen_at - counted.get(crash.start, -math.inf)
+                crash.seen_at - last_counted.get(crash.start, -math.inf)
                 >= DUPLICATE_WINDOW_S
             ):
-                ends += 1
-                counted[crash.start] = crash.seen_at
-        return ends
+                count += 1
+                last_counted[crash.start] = crash.seen_at
+        return count
 
     @property
     def trial_delay(self) -> float:
-        """Seconds from what happened last to its next trial."""
+        """Seconds from the last crash or trial to the next trial."""
         if self.trial_count >= len(TRIAL_DELAYS_S):
             return CRASH_RETENTION_S
         if any(crash.seen_at > self.last_trial_at for crash in self.crashes.values()):
@@ -117,12 +118,12 @@
 
     @property
     def server_starts(self) -> set[ServerStart]:
-        """Servers that ended."""
+        """Server starts that crashed."""
         return {crash.start for crash in self.crashes.values()}
 
 
 class Quarantine:
-    """The requests under which servers ended; bounded in number, size and age.
+    """Records of the requests that crashed servers, limited in number, size and age.
 
     Parameters
     ----------
@@ -134,110 +135,114 @@
         self.records: dict[str, RequestRecord] = {}
 
     def add_crash(self, crash: Crash) -> list[str]:
-        """Take a crash; return the keys of those that make room for it."""
+        """Record a crash and return the keys of crashes that were evicted for it."""
         if self.clock.monotonic() - crash.seen_at > CRASH_RETENTION_S:
             return []
-        case = self.records.get(crash.fingerprint)
-        if case is None:
+        record = self.records.get(crash.fingerprint)
+        if record is None:
             removed = self.evict_records()
-            case = self.records[crash.fingerprint] = RequestRecord()
-        elif crash.key in case.crashes or len(case.crashes) >= MAX_CRASHES_PER_RECORD:
+            record = self.records[crash.fingerprint] = RequestRecord()
+        elif (
+            crash.key in record.crashes or len(record.crashes) >= MAX_CRASHES_PER_RECORD
+        ):
             return []
         else:
             removed = []
-        case.crashes[crash.key] = crash
-        case.last_event_at = max(case.last_event_at, crash.seen_at)
+        record.crashes[crash.key] = crash
+        record.last_event_at = max(record.last_event_at, crash.seen_at)
         return removed
 
     def evict_records(self) -> list[str]:
-        """Forget requests where there are too many; return the keys of their crashes.
+        """Evict records if the limit is reached, and return the keys of their crashes.
 
-        Those under which the fewest servers ended, and of these the oldest: a flood of
-        different requests leaves those in place that are held back.
+        Records with the fewest crashes go first, and of these the oldest. A flood of
+        different requests thus does not evict requests that are held back.
         """
         if len(self.records) < MAX_RECORDS:
             return []
-        rank = lambda name: (
-            self.records[name].crash_count,
-            self.records[name].last_event_at,
+        rank = lambda fingerprint: (
+            self.records[fingerprint].crash_count,
+            self.records[fingerprint].last_event_at,
         )
-        gone = heapq.nsmallest(EVICTION_BATCH, self.records, key=rank)
-        return [key for name in gone for key in self.records.pop(name).crashes]
+        evicted = heapq.nsmallest(EVICTION_BATCH, self.records, key=rank)
+        return [key for name in evicted for key in self.records.pop(name).crashes]
 
     def has_crash(self, fingerprint: str, key: str) -> bool:
-        """Tell whether a crash is known."""
-        case = self.records.get(fingerprint)
-        return case is not None and key in case.crashes
+        """Return whether a crash is recorded."""
+        record = self.records.get(fingerprint)
+        return record is not None and key in record.crashes
 
     def crash_count(self, fingerprint: str) -> int:
-        """Return how many servers ended under a request."""
-        case = self.records.get(fingerprint)
-        return case.crash_count if case else 0
+        """Return the number of server crashes recorded for a request."""
+        record = self.records.get(fingerprint)
+        return record.crash_count if record else 0
 
     def is_held_back(self, fingerprint: str) -> bool:
-        """Tell whether a request is held back.
+        """Return whether a request is held back.
 
-        Not one that only ran beside another: under that one, all of its servers ended
-        and others besides.
+        A request is not held back if another request crashed all of the same servers
+        and more: then it probably only ran beside that one.
         """
-        case = self.records.get(fingerprint)
-        if case is None or case.crash_count < CRASH_LIMIT:
+        record = self.records.get(fingerprint)
+        if record is None or record.crash_count < CRASH_LIMIT:
             return False
-        starts = case.server_starts
-        more = [c for c in self.records.values() if len(c.crashes) > len(starts)]
-        return not any(other.server_starts > starts for other in more)
+        starts = record.server_starts
+        larger = [r for r in self.records.values() if len(r.crashes) > len(starts)]
+        return not any(other.server_starts > starts for other in larger)
 
     def max_parallel_sends(self, fingerprint: str) -> int:
-        """Return at how many servers at once a request may run, without a trial.
+        """Return at how many servers at once a request may run outside of a trial.
 
-        As many as may end until it is held back; one, where it was let go.
+        This is the number of crashes left before it is held back, so that running it
+        cannot exceed the limit. It is 1 for a request that is over the limit but not
+        held back.
         """
         if self.is_held_back(fingerprint):
             return 0
         return max(1, CRASH_LIMIT - self.crash_count(fingerprint))
 
     def must_run_apart(self, fingerprint: str, others: Iterable[str]) -> bool:
-        """Tell whether a request must not run beside others at one server.
+        """Return whether a request must not run at the same server as other requests.
 
-        Not beside one under which the same servers ended, nor one that is held back
-        beside another on trial: both would be blamed for one end more.
+        This holds if the same servers crashed under one of them, and for a trial if
+        another one is a trial as well: both would be charged with the next crash.
         """
-        case = self.records.get(fingerprint)
-        if case is None or case.crash_count < SHARED_CRASH_LIMIT:
+        record = self.records.get(fingerprint)
+        if record is None or record.crash_count < SHARED_CRASH_LIMIT:
             return False
         known = {name: self.records[name] for name in others if name in self.records}
         known.pop(fingerprint, None)
         if self.is_held_back(fingerprint) and any(map(self.is_held_back, known)):
             return True
         shared = (
-            len(case.server_starts & other.server_starts) for other in known.values()
+            len(record.server_starts & other.server_starts) for other in known.values()
         )
         return any(count >= SHARED_CRASH_LIMIT for count in shared)
 
     def crashes(self, fingerprint: str) -> list[Crash]:
-        """Return the crashes under a request, the oldest first."""
-        case = self.records.get(fingerprint)
-        found = case.crashes.values() if case else ()
+        """Return the crashes recorded for a request, the oldest first."""
+        record = self.records.get(fingerprint)
+        found = record.crashes.values() if record else ()
         return sorted(found, key=lambda crash: crash.seen_at)
 
     def trial_count(self, fingerprint: str) -> int:
-        """Return how often a request was tried while it was held back."""
-        case = self.records.get(fingerprint)
-        return case.trial_count if case else 0
+        """Return the number of trials made of a request while it was held back."""
+        record = self.records.get(fingerprint)
+        return record.trial_count if record else 0
 
     def seconds_to_trial(self, fingerprint: str) -> float:
-        """Return the seconds until a request may be sent or, held back, tried again.
+        """Return the seconds until the next trial; 0 if the request is not held back.
 
-        Once all trials are made, those until its crashes are forgotten.
+        Once all trials are made, these are the seconds until its crashes expire.
         """
         if not self.is_held_back(fingerprint):
             return 0.0
-        case = self.records[fingerprint]
-        quiet = self.clock.monotonic() - case.last_event_at
-        return max(0.0, case.trial_delay - quiet)
+        record = self.records[fingerprint]
+        elapsed = self.clock.monotonic() - record.last_event_at
+        return max(0.0, record.trial_delay - elapsed)
 
     def is_trial_due(self, fingerprint: str) -> bool:
-        """Tell whether a request that is held back may be tried now."""
+        """Return whether a request is held back and a trial of it may be made now."""
         left = self.trial_count(fingerprint) < len(TRIAL_DELAYS_S)
         return (
             left
@@ -246,50 +251,60 @@
         )
 
     def record_trial(self, fingerprint: str, number: int, age: float = 0.0) -> None:
-        """Take that the trial of that number, from 1, was begun some seconds ago."""
-        case = self.records.get(fingerprint)
-        if case is not None and number > case.trial_count:
-            case.trial_count = number
-            case.last_trial_at = self.clock.monotonic() - age
-            case.last_event_at = max(case.last_event_at, case.last_trial_at)
+        """Record that a trial was begun.
+
+        Parameters
+        ----------
+        fingerprint : str
+        number : int
+            Number of the trial, from 1. One that is not higher than the last recorded
+            trial is ignored.
+        age : float
+            Seconds since the trial was begun.
+        """
+        record = self.records.get(fingerprint)
+        if record is not None and number > record.trial_count:
+            record.trial_count = number
+            record.last_trial_at = self.clock.monotonic() - age
+            record.last_event_at = max(record.last_event_at, record.last_trial_at)
 
     def withdraw_trial(self, fingerprint: str, number: int) -> None:
-        """Take that a trial came to nothing, since no server took the request.
+        """Undo the record of a trial that no server ran.
 
-        It may be made again as soon as a first one.
+        The trial may be made again after the delay of a first trial.
         """
-        case = self.records.get(fingerprint)
-        if case is not None and case.trial_count == number:
-            case.trial_count = number - 1
-            case.last_trial_at = math.inf
+        record = self.records.get(fingerprint)
+        if record is not None and record.trial_count == number:
+            record.trial_count = number - 1
+            record.last_trial_at = math.inf
             self.postpone_trial(fingerprint)
 
     def postpone_trial(self, fingerprint: str) -> None:
-        """Have the next trial wait as long as a first one."""
-        case = self.records.get(fingerprint)
-        if case is None or case.trial_count >= len(TRIAL_DELAYS_S):
+        """Delay the next trial by the delay of a first trial, counted from now."""
+        record = self.records.get(fingerprint)
+        if record is None or record.trial_count >= len(TRIAL_DELAYS_S):
             return
-        waited = case.trial_delay - TRIAL_DELAYS_S[0]
-        case.last_event_at = self.clock.monotonic() - waited
+        extra = record.trial_delay - TRIAL_DELAYS_S[0]
+        record.last_event_at = self.clock.monotonic() - extra
 
     def clear(self, fingerprint: str) -> list[str]:
-        """Take that a server answered a request; return the keys of its crashes."""
-        case = self.records.pop(fingerprint, None)
-        return list(case.crashes) if case else []
+        """Remove the record of a request that was answered; return its crash keys."""
+        record = self.records.pop(fingerprint, None)
+        return list(record.crashes) if record else []
 
     def remove_crash(self, fingerprint: str, key: str) -> None:
-        """Take that a crash is no longer told."""
-        case = self.records.get(fingerprint)
-        if case is None:
+        """Remove a crash, and the record of its request if it was the last one."""
+        record = self.records.get(fingerprint)
+        if record is None:
             return
-        case.crashes.pop(key, None)
-        if not case.crashes:
+        record.crashes.pop(key, None)
+        if not record.crashes:
             del self.records[fingerprint]
 
     def remove_expired(self) -> None:
-        """Forget the crashes that are too old."""
+        """Remove the crashes that are older than the retention time."""
         horizon = self.clock.monotonic() - CRASH_RETENTION_S
-        for fingerprint, case in list(self.records.items()):
-            for key, crash in list(case.crashes.items()):
+        for fingerprint, record in list(self.records.items()):
+            for key, crash in list(record.crashes.items()):
                 if crash.seen_at < horizon:
                     self.remove_crash(fingerprint, key)
