--- a/gypsumshift/serving/trialclaims.py
+++ b/gypsumshift/serving/trialclaims.py
@@ -1,4 +1,4 @@
-"""Claims of trials: each trial of a request held back is made by one process only."""
+"""Claims of trials: each trial of a held-back request is made by one process only."""
 
 import enum
 
@@ -16,21 +16,21 @@
 ]
 
 CRASHES_TABLE = "crashes"
-# Second part of the keys of trials, where those of crashes have a process.
+# Second part of the key of a trial. In the key of a crash it is a process's session.
 TRIAL_KIND = "trial"
 
 
 class ClaimResult(enum.Enum):
-    """Whose a trial is.
+    """Result of the attempt to claim a trial.
 
     Attributes
     ----------
     OWN
-        This process is to make it.
+        This process has the claim and makes the trial.
     OTHER
-        Another process makes it, or has.
+        Another process has the claim; it makes the trial or has made it.
     UNCERTAIN
-        The store did not say.
+        The store did not answer or could not tell.
     """
 
     OWN = "own"
@@ -39,20 +39,20 @@
 
 
 class TrialClaims:
-    """Numbered rows that only one process can write first.
+    """Claims trials by numbered rows that only one process can create.
 
     Parameters
     ----------
     store : RowStore
     session : str
-        Start of this process, by which its rows are known.
+        Random identifier of this run of the process, stored in its rows.
 
     Attributes
     ----------
     claimed : dict
-        Version of the row of each trial that this process was to make, by its key.
+        Version of the row of each trial that this process claimed, by the trial's key.
     withdrawn : dict
-        The same of those that came to nothing, whose rows are still to be removed.
+        The same for withdrawn trials whose rows are still to be removed.
     """
 
     def __init__(self, store: RowStore, session: str):
@@ -62,7 +62,7 @@
         self.withdrawn: dict[str, int] = {}
 
     async def claim(self, key: str) -> ClaimResult:
-        """Write the row of a trial where there is none."""
+        """Claim a trial by creating its row, if there is none yet."""
         value = {"by": self.session, "at": store_time(self.store)}
         outcome = await self.store.commit([Write(CRASHES_TABLE, key, value, ABSENT)])
         if isinstance(outcome, Committed):
@@ -70,7 +70,8 @@
             return ClaimResult.OWN
         if not isinstance(outcome, Conflict):
             return ClaimResult.UNCERTAIN
-        # It may have met itself, sent twice, or one that was answered too late.
+        # The conflicting row may be of this process: its write was sent twice, or an
+        # earlier claim was answered after its time limit.
         row = await self.store.read(CRASHES_TABLE, key)
         if not isinstance(row, Row) or not self.is_unacknowledged(row):
             return ClaimResult.OTHER
@@ -78,24 +79,24 @@
         return ClaimResult.OWN
 
     def is_unacknowledged(self, row: Row) -> bool:
-        """Tell whether this process claimed a trial without knowing that it had."""
+        """Return whether a row is a claim of this process that was never confirmed."""
         return row.value.get("by") == self.session and row.key not in self.claimed
 
     def withdraw(self, key: str) -> None:
-        """Have the row of a trial removed that came to nothing."""
+        """Queue the row of a trial that no server ran for removal."""
         version = self.claimed.pop(key, None)
         if version is not None:
             self.withdrawn[key] = version
 
     def discard_claim(self, key: str) -> None:
-        """Take that the row of a trial is removed."""
+        """Discard the claim of a trial whose row was removed."""
         self.claimed.pop(key, None)
 
     async def remove_withdrawn_row(self) -> Written:
-        """Remove the row of a trial that came to nothing, unless it is a newer one.
+        """Remove the row of one withdrawn trial, unless the row has a newer version.
 
-        The store may carry a removal out once more, and late: another process may
-        have claimed the trial by then.
+        The store may repeat a removal later, when another process may already have
+        claimed the trial.
         """
         key, version = next(iter(self.withdrawn.items()))
         write = Write(CRASHES_TABLE, key, expected=version)
@@ -106,7 +107,7 @@
 
 
 def split_key(key: str) -> tuple[str, str, str]:
-    """Return fingerprint, kind or process, and number in a key."""
+    """Return fingerprint, kind or session, and number in a key."""
     fingerprint, _, rest = key.partition("/")
     kind, _, number = rest.partition("/")
     return fingerprint, kind, number
@@ -118,5 +119,5 @@
 
 
 def store_time(store: RowStore) -> float:
-    """Return a store's time in seconds."""
+    """Return the current time of a store in seconds."""
     return round(store.now().total_seconds(), 3)
