--- a/gypsumshift/serving/crashguard.py
+++ b/gypsumshift/serving/crashguard.py
@@ -1,4 +1,4 @@
-"""Guard: whether a request may be sent to servers, after what it did to others."""
+"""Crash guard: decides whether a request may be sent, given the crashes it caused."""
 
 import datetime
 import random
@@ -23,9 +23,9 @@
 __all__ = ["HELD_BACK_REASON", "CrashGuard", "Permit"]
 
 HELD_BACK_REASON = "servers ended under this request each time that it ran"
-# Seconds after which a caller may come back at the soonest: a trial may be under way.
+# Lower limit of the retry time returned to callers: a trial may be in progress.
 MIN_RETRY_AFTER_S = 0.25
-# HTTP statuses from which on an answer is a failure of its server.
+# Lowest HTTP status that counts as a failure of the server.
 FIRST_FAILURE_STATUS = 500
 
 log = logs.logger("guard")
@@ -33,13 +33,14 @@
 
 @attrs.define
 class Permit:
-    """Leave to send one request to servers.
+    """Permission to send one request to servers.
 
     Attributes
     ----------
     fingerprint, request : str
+        Fingerprint and id of the request.
     trial : int
-        Number of the trial that this is, of a request that is held back; 0 for none.
+        Number of the trial if the request is held back; 0 if this is no trial.
     """
 
     fingerprint: str
@@ -48,7 +49,7 @@
 
 
 class CrashGuard:
-    """Decides by what this process and all others saw.
+    """Admits requests by the crashes that this and all other processes recorded.
 
     Parameters
     ----------
@@ -69,14 +70,14 @@
 
     @property
     def loaded(self) -> bool:
-        """Whether this process was told what others saw before it began."""
+        """Whether the crashes recorded before this process started were received."""
         return self.table.loaded
 
     async def admit(self, fingerprint: str, request: str) -> Permit | HeldBack:
-        """Return leave to send a request, or that it is held back.
+        """Return the permit to send a request, or that it is held back.
 
-        Of a request that is held back a trial is due from time to time, which one
-        process makes.
+        If a trial of a held-back request is due and this process obtains the claim for
+        it, the permit is for the trial.
         """
         request = request[:MAX_REQUEST_ID_LENGTH]
         trial = 0
@@ -87,7 +88,7 @@
         return self.refuse(fingerprint, request)
 
     async def begin_trial(self, fingerprint: str, request: str) -> int:
-        """Return the number of a trial that this process is to make; 0 for none."""
+        """Claim the next trial if due; return its number, or 0 if it is not granted."""
         if fingerprint in self.claiming or not self.quarantine.is_trial_due(
             fingerprint
         ):
@@ -99,7 +100,7 @@
         finally:
             self.claiming.discard(fingerprint)
         if not self.quarantine.is_held_back(fingerprint):
-            # Answered elsewhere meanwhile.
+            # The request was answered at another process in the meantime.
             if claim is ClaimResult.OWN:
                 self.table.withdraw_trial(fingerprint, number)
             return 0
@@ -112,7 +113,7 @@
         self.metrics.count("quarantine_trials")
         logs.event(
             log,
-            "A request that is held back is tried again.",
+            "Trial of a held-back request started.",
             request=request,
             fingerprint=fingerprint,
             trial=number,
@@ -120,12 +121,12 @@
         return number
 
     def refuse(self, fingerprint: str, request: str) -> HeldBack:
-        """Return that a request is held back, and log what it is held back for."""
+        """Return that a request is held back, and log the crashes that it caused."""
         crashes = self.quarantine.crashes(fingerprint)
         self.metrics.count("quarantine_refusals")
         logs.event(
             log,
-            "A request is held back.",
+            "Request not sent: it is held back because servers crashed under it.",
             request=request,
             fingerprint=fingerprint,
             servers=[crash.start.id for crash in crashes],
@@ -136,31 +137,31 @@
         return self.held_back_outcome(fingerprint)
 
     def held_back_outcome(self, fingerprint: str) -> HeldBack:
-        """Return that a request is held back, and when it may come back."""
+        """Return the outcome for a held-back request, with the time until a retry."""
         pause = self.retry_after_s(fingerprint)
         return HeldBack(HELD_BACK_REASON, datetime.timedelta(seconds=pause))
 
     def retry_after_s(self, fingerprint: str) -> float:
-        """Return the seconds after which a request may come back."""
+        """Return the seconds after which a caller may retry a request."""
         return max(MIN_RETRY_AFTER_S, self.quarantine.seconds_to_trial(fingerprint))
 
     def may_send(self, permit: Permit, running: int, ran: bool) -> bool:
-        """Tell whether a request may be sent to one more server.
+        """Return whether a request may be sent to one more server.
 
         Parameters
         ----------
         permit : Permit
         running : int
-            Servers at which it runs now: under each, its server may end.
+            Number of servers at which it runs now; each of them may crash.
         ran : bool
-            Whether it ran before.
+            Whether a server has run it under this permit before.
         """
         if permit.trial:
             return not running and not ran
         return running < self.quarantine.max_parallel_sends(permit.fingerprint)
 
     def record_crash(self, permit: Permit, start: ServerStart) -> None:
-        """Take that a server ended under a request."""
+        """Record that a server crashed while it ran a request."""
         crash = Crash(
             self.table.new_key(permit.fingerprint),
             permit.fingerprint,
@@ -172,16 +173,16 @@
         self.table.queue_removals(self.quarantine.add_crash(crash))
         if self.quarantine.has_crash(permit.fingerprint, crash.key):
             self.table.queue_write(crash)
-        ends = self.quarantine.crash_count(permit.fingerprint)
-        if ends == CRASH_LIMIT:
-            self.log_hold(permit.fingerprint)
+        crash_count = self.quarantine.crash_count(permit.fingerprint)
+        if crash_count == CRASH_LIMIT:
+            self.log_quarantine_start(permit.fingerprint)
 
-    def log_hold(self, fingerprint: str) -> None:
-        """Log that a request is held back from now on."""
+    def log_quarantine_start(self, fingerprint: str) -> None:
+        """Log that a request reached the crash limit and is held back from now on."""
         crashes = self.quarantine.crashes(fingerprint)
         logs.event(
             log,
-            "A request is held back from now on: servers ended under it.",
+            "Request reached the crash limit; it is held back from now on.",
             fingerprint=fingerprint,
             ended=True,
             servers=[crash.start.id for crash in crashes],
@@ -189,45 +190,52 @@
         )
 
     def record_answer(self, permit: Permit, status: int, whole: bool = True) -> None:
-        """Take that a server answered a request: it does not end each.
+        """Clear the crashes of a request that a server answered.
+
+        An answer shows that the request does not crash every server.
 
         Parameters
         ----------
         permit : Permit
         status : int
-            HTTP status. A failure clears nothing: a server that is full, or fails
-            whatever it is asked, answers so without having begun.
+            HTTP status. A failure clears nothing: a server that is full, or that fails
+            every request, sends it without having run the request.
         whole : bool
-            Whether one server ran all of it. One that made the rest of what others
-            began may have been spared: a stream that ends its servers in its midst is
-            whole in the end, too. A lone end then counts for chance.
+            Whether one server ran the whole request. A server that only completed what
+            others began proves little: a stream that crashes its servers midway is
+            completed in the end, too. Such an answer clears a single crash, which is
+            then attributed to chance, but not several.
         """
-        ends = self.quarantine.crash_count(permit.fingerprint)
-        if not ends or status >= FIRST_FAILURE_STATUS or (ends > 1 and not whole):
+        crash_count = self.quarantine.crash_count(permit.fingerprint)
+        if (
+            not crash_count
+            or status >= FIRST_FAILURE_STATUS
+            or (crash_count > 1 and not whole)
+        ):
             return
         trials = self.quarantine.trial_count(permit.fingerprint)
-        known = self.quarantine.clear(permit.fingerprint)
-        self.table.remove_request(permit.fingerprint, known, trials)
+        crash_keys = self.quarantine.clear(permit.fingerprint)
+        self.table.remove_request(permit.fingerprint, crash_keys, trials)
         permit.trial = 0
         logs.event(
             log,
-            "A request under which servers ended was answered.",
+            "Request under which servers had crashed was answered; crashes cleared.",
             request=permit.request,
             fingerprint=permit.fingerprint,
             cleared=True,
         )
 
     def release_permit(self, permit: Permit, ran: bool) -> None:
-        """Take the end of a request; a trial that no server took is withdrawn."""
+        """Release the permit of a finished request, and withdraw an unused trial."""
         if permit.trial and not ran:
             self.quarantine.withdraw_trial(permit.fingerprint, permit.trial)
             self.table.withdraw_trial(permit.fingerprint, permit.trial)
 
     async def run(self) -> None:
-        """Tell other processes until cancelled."""
+        """Write crashes to the shared table until cancelled."""
         await self.table.run()
 
     def sweep(self) -> None:
-        """Forget what is too old."""
+        """Remove expired crashes and rows, and queue overdue writes."""
         self.quarantine.remove_expired()
         self.table.sweep()
--- a/gypsumshift/serving/fingerprints.py
+++ b/gypsumshift/serving/fingerprints.py
@@ -1,22 +1,22 @@
-"""Fingerprints: one name for a request, however often and wherever it comes."""
+"""Fingerprints: a digest of a request that is equal each time the request is sent."""
 
 import hashlib
 
 __all__ = ["fingerprint"]
 
-# Bytes of a fingerprint: enough that nobody finds a second request with the same one.
-SIZE = 16
+# Size of a fingerprint: large enough that nobody can construct a collision.
+DIGEST_SIZE_BYTES = 16
 
 
 def fingerprint(method: str, host: str, target: str, caller: str, body: bytes) -> str:
-    """Return a digest that tells neither the body nor what names the caller.
+    """Return a digest of a request that reveals neither its body nor its caller.
 
     Parameters
     ----------
     method, host, target : str
-        The target holds path and query.
+        HTTP method, host name, and target with path and query.
     caller : str
-        What names the caller; two that send the same are told apart by it.
+        Identity of the caller, so that equal requests of two callers differ.
     body : bytes
 
     Returns
@@ -24,14 +24,14 @@
     str
         32 hexadecimal digits.
     """
-    digest = hashlib.blake2b(digest_size=SIZE)
+    digest = hashlib.blake2b(digest_size=DIGEST_SIZE_BYTES)
     for part in (method, host.lower(), target, caller):
-        add(digest, part.encode("utf-8", "surrogatepass"))
-    add(digest, body)
+        add_part(digest, part.encode("utf-8", "surrogatepass"))
+    add_part(digest, body)
     return digest.hexdigest()
 
 
-def add(digest, part: bytes) -> None:
-    """Add a part behind its length, so that parts do not run into each other."""
+def add_part(digest, part: bytes) -> None:
+    """Add a part preceded by its length, so that the boundaries are unique."""
     digest.update(len(part).to_bytes(8, "big"))
     digest.update(part)
--- a/gypsumshift/serving/latecrashes.py
+++ b/gypsumshift/serving/latecrashes.py
@@ -1,9 +1,9 @@
-"""Late ends: servers that end when nobody waits for their answer any more.
+"""Detection of servers that crash after a request to them was aborted.
 
-The decision answers callers that leave, and deadlines that pass, before a server has
-ended under their request: no connection is left to show it. So the servers at which an
-unanswered request was cut are looked at some times. An idle connection that is still
-open says that a server is there; only without one a new one is opened, and kept.
+If a caller disconnects or a deadline passes before the server crashes, no connection is
+left that would show the crash. The servers of an aborted, unanswered request are
+therefore checked a few times. A server with an open idle connection counts as running;
+only without one is a new connection opened, and kept.
 """
 
 import asyncio
@@ -19,22 +19,22 @@
 
 __all__ = ["LateCrashDetector"]
 
-# Seconds between the cut and the first look, and from each look to the next. Most
-# servers drop a request that is cut; what goes on is over within some service times.
+# Delays from the abort to the first check, and between checks. Most servers stop
+# processing an aborted request; others finish it within a few service times.
 CHECK_DELAYS_S = (0.1, 0.4, 1.5)
-# Servers that are looked at at once.
+# Maximum number of servers being checked at the same time.
 MAX_CHECKS = 64
 
 log = logs.logger("lateends")
 
 
 class LateCrashDetector:
-    """Looks at the servers at which requests were cut.
+    """Checks whether servers crashed after a request to them was aborted.
 
     Parameters
     ----------
     guard : CrashGuard
-        Told of those that ended.
+        Records the detected crashes.
     pool : Pool
     directory : Directory
     fetcher : Fetcher
@@ -57,17 +57,21 @@
         self.checks: set[asyncio.Task] = set()
 
     def check_servers(self, permit: Permit, servers: Iterable[BackendServer]) -> None:
-        """Look at the servers at which an unanswered request was cut."""
+        """Start checks of the servers at which an unanswered request was aborted."""
         for server in servers:
             if len(self.checks) >= MAX_CHECKS:
-                log.debug("Too many cut requests; {} is not looked at.", server.id)
+                log.debug(
+                    "Limit of {} server checks reached; {} and any others skipped.",
+                    MAX_CHECKS,
+                    server.id,
+                )
                 return
             task = asyncio.create_task(self.check_server(permit, server))
             self.checks.add(task)
             task.add_done_callback(self.checks.discard)
 
     async def check_server(self, permit: Permit, server: BackendServer) -> None:
-        """Look at one server, and tell the guard where it has ended."""
+        """Check one server repeatedly, and record a crash if it is gone."""
         for pause in CHECK_DELAYS_S:
             await self.clock.sleep(pause)
             if await self.has_crashed(server):
@@ -75,19 +79,19 @@
                 return
 
     async def has_crashed(self, server: BackendServer) -> bool:
-        """Tell whether a server is gone, without a new connection where one is open."""
+        """Return whether a server is gone; connect only if no connection is open."""
         if self.fetcher.connected(server.address):
             return False
         return await is_gone(self.directory, self.fetcher, server)
 
     def record_crash(self, permit: Permit, server: BackendServer) -> None:
-        """Take that a server ended under a request that was cut there."""
+        """Record that a server crashed under a request that was aborted there."""
         self.pool.crashed(server)
         self.guard.record_crash(permit, server.start)
         self.guard.release_permit(permit, ran=True)
         logs.event(
             log,
-            "A server ended after a request was cut there.",
+            "Server crashed after a request to it was aborted.",
             request=permit.request,
             fingerprint=permit.fingerprint,
             server=server.id,
