--- a/gypsumshift/crashgossip.py
+++ b/gypsumshift/crashgossip.py
@@ -1,10 +1,10 @@
-"""Crash news: neighbours tell each other what ended servers, where the store does not.
+"""Crash gossip: neighbours exchange server crashes that the store has not received.
 
-The decision answers an outage of the store. Each process would have three servers end
-under a request before it holds it back: 14 processes, 42 servers. A crash that the
-store did not take at once goes to a few neighbours, which pass it on once each. The
-store's table stays what all go by: nothing here is waited for, and what is lost costs
-servers, no promise.
+During an outage of the store, each process would otherwise let three servers crash
+under a request before it holds the request back: 42 servers with 14 processes. A crash
+that the store did not accept at once is therefore sent to a few neighbours, each of
+which forwards it once. The store's table remains authoritative. Nothing waits for these
+messages, and a lost one can cost further servers but breaks no guarantee.
 """
 
 import asyncio
@@ -23,39 +23,39 @@
 
 __all__ = ["CRASHES_PATH", "CrashGossip", "decode", "encode"]
 
-# Target by which processes tell each other of crashes.
+# Request target at which processes receive crashes from neighbours.
 CRASHES_PATH = "/neighbour/crashes"
-# Seconds between two looks for crashes that wait for the store, and for an answer.
+# Time between two checks for crashes to send, and limit for a neighbour's answer.
 SEND_PERIOD_S = 0.1
 REQUEST_TIMEOUT_S = 0.3
-# Neighbours that are told each time: news that each passes on once reach some 95 of
-# 100 so, and the rest by the next look.
+# Number of neighbours that receive each message. With each forwarding it once, a crash
+# reaches about 95 % of the processes, and the others after the next period.
 FANOUT = 3
-# Crashes in one message, of some 150 bytes each.
+# Maximum number of crashes, and of trials, in one message; a crash has about 150 bytes.
 MAX_PER_MESSAGE = 20
-# Seconds for which a trial that the store was not asked for is told.
+# Time for which a trial made without a claim in the store is sent to neighbours.
 TRIAL_REPORT_TIME_S = 5.0
-# Bytes of a key that is believed.
+# Maximum length of the keys and ids accepted from neighbours.
 MAX_KEY_LENGTH = 200
 
 log = logs.logger("crashnews")
 
 
 class CrashGossip:
-    """Tells neighbours what the store was not told yet, and hears from them.
+    """Exchanges crashes that the store has not received with neighbours.
 
     Parameters
     ----------
     table : CrashTable
     path : StorePath
-        Knows the neighbours.
+        Provides the neighbours and the client to reach them.
     clock : Clock
     chance : random.Random
 
     Attributes
     ----------
-    passing : dict
-        Crashes that neighbours told, to be passed on once, by key.
+    to_forward : dict
+        Crashes received from neighbours and still to be forwarded once, by key.
     """
 
     def __init__(
@@ -68,10 +68,10 @@
         self.to_forward: dict[str, Crash] = {}
 
     async def run(self) -> None:
-        """Tell what waits for the store, and pass on what is new, until cancelled.
+        """Send unsent crashes and forward new ones until cancelled.
 
-        At this pace, whatever comes: told at once, what processes have no room to keep
-        would go round among them without end.
+        Messages are sent once per period only. If they were forwarded on receipt,
+        crashes that processes have no room to record would circulate without end.
         """
         while True:
             await self.clock.sleep(SEND_PERIOD_S)
@@ -80,9 +80,10 @@
                 await self.send(crashes, trials)
 
     def take_unsent(self) -> tuple[list[Crash], list[str]]:
-        """Take the newest crashes, and keys of trials, that the store does not know.
+        """Return the newest crashes to send and the keys of trials; empty `to_forward`.
 
-        A write takes 5 to 40 ms: what waits for longer is looked at as held up.
+        A write to the store takes 5 to 40 ms. A crash pending for longer than the send
+        period counts as delayed.
         """
         now = self.clock.monotonic()
         waiting = self.table.pending_writes.values()
@@ -97,15 +98,15 @@
         return crashes[-MAX_PER_MESSAGE:], trials
 
     async def send(self, crashes: list[Crash], trials: list[str]) -> None:
-        """Tell some neighbours."""
+        """Send crashes and trials to some randomly chosen neighbours."""
         known = list(self.path.neighbours.values())
         chosen = self.chance.sample(known, min(len(known), FANOUT))
-        news = encode(crashes, trials, self.clock.monotonic())
-        body = json.dumps(news).encode()
+        message = encode(crashes, trials, self.clock.monotonic())
+        body = json.dumps(message).encode()
         await asyncio.gather(*(self.send_to(who, body) for who in chosen))
 
     async def send_to(self, neighbour: Neighbour, body: bytes) -> None:
-        """Tell one neighbour; one that does not answer hears from others."""
+        """Send a message to one neighbour; on failure it relies on other senders."""
         try:
             await self.path.fetcher.fetch(
                 neighbour.address,
@@ -115,13 +116,13 @@
                 timeout=REQUEST_TIMEOUT_S,
             )
         except FetchError as error:
-            log.debug("{} is not told of crashes: {}", neighbour.name, error)
+            log.debug("Cannot send crashes to {}: {}", neighbour.name, error)
 
     async def serve(self, request: Request) -> Response:
-        """Hear from a neighbour, and pass on what is new."""
+        """Record the crashes and trials that a neighbour sent; forward new crashes."""
         try:
-            news = json.loads(request.body)
-            crashes, trials = decode(news, self.clock.monotonic())
+            message = json.loads(request.body)
+            crashes, trials = decode(message, self.clock.monotonic())
         except (ValueError, RecursionError) as error:
             return json_response(400, {"error": str(error)})
         for crash in crashes:
@@ -135,7 +136,7 @@
 
 
 def encode(crashes: list[Crash], trials: list[str], now: float) -> dict:
-    """Return news as JSON holds them, with ages in place of times."""
+    """Return a message as JSON data, with ages in place of times."""
     rows = [
         [c.key, c.start.id, c.start.born, c.request, round(now - c.seen_at, 2)]
         for c in crashes
@@ -143,35 +144,35 @@
     return {"crashes": rows, "trials": trials}
 
 
-def decode(news: object, now: float) -> tuple[list[Crash], list[str]]:
-    """Return the news that another process told; raises ValueError."""
-    if not isinstance(news, dict):
-        raise ValueError("no news of crashes")
-    crashes, trials = news.get("crashes"), news.get("trials")
+def decode(message: object, now: float) -> tuple[list[Crash], list[str]]:
+    """Return the crashes and trials in a message; raises ValueError."""
+    if not isinstance(message, dict):
+        raise ValueError("crash message is not an object")
+    crashes, trials = message.get("crashes"), message.get("trials")
     if not isinstance(crashes, list) or not isinstance(trials, list):
-        raise ValueError("no news of crashes")
+        raise ValueError("crash message lacks the list of crashes or of trials")
     found = [decode_crash(row, now) for row in crashes[:MAX_PER_MESSAGE]]
     return found, [decode_key(key) for key in trials[:MAX_PER_MESSAGE]]
 
 
 def decode_key(key: object) -> str:
-    """Return a key; raises ValueError."""
+    """Return the key of a crash or trial; raises ValueError."""
     if not isinstance(key, str) or not key or len(key) > MAX_KEY_LENGTH:
-        raise ValueError("no key of a crash")
+        raise ValueError("invalid key of a crash or trial")
     return key
 
 
 def decode_crash(row: object, now: float) -> Crash:
     """Return one crash; raises ValueError."""
     if not isinstance(row, list) or len(row) != 5:
-        raise ValueError("no crash")
+        raise ValueError("crash is not a list of 5 values")
     key, server, born, request, age = row
     if not isinstance(server, str) or type(born) is not int:
-        raise ValueError("a crash of no server")
+        raise ValueError("crash has an invalid server id or start time")
     if not isinstance(request, str) or type(age) not in (int, float):
-        raise ValueError("a crash without a request or an age")
+        raise ValueError("crash has an invalid request id or age")
     if not math.isfinite(age):
-        raise ValueError("an age beyond reason")
+        raise ValueError("age of a crash is not finite")
     key = decode_key(key)
     fingerprint = key.partition("/")[0]
     start = ServerStart(server[:MAX_KEY_LENGTH], born)
--- a/tests/test_crashgossip.py
+++ b/tests/test_crashgossip.py
@@ -1,4 +1,4 @@
-"""What neighbours tell each other of crashes: bounded, and only what they may."""
+"""Crash gossip between neighbours: encoding, validation, forwarding and its limits."""
 
 import asyncio
 import json
@@ -25,21 +25,21 @@
 from gypsumshift.serving.trialclaims import CRASHES_TABLE, trial_key
 from tests.builders import ManualClock
 
-ANY = st.recursive(
+ANY_JSON = st.recursive(
     st.none() | st.booleans() | st.floats() | st.integers() | st.text(max_size=5),
     lambda inner: st.lists(inner, max_size=6) | st.dictionaries(st.text(), inner),
     max_leaves=20,
 )
 
 
-class NoPath:
-    """A process that knows no other."""
+class NoNeighbours:
+    """Stand-in for a `StorePath` without neighbours."""
 
     neighbours = {}
 
 
-class Down(MemoryTables):
-    """Tables that take nothing."""
+class UnavailableStore(MemoryTables):
+    """Store whose commits always fail."""
 
     async def commit(self, writes):
         return Unavailable("down")
@@ -50,7 +50,7 @@
     quarantine = Quarantine(clock)
     chance = random.Random(1)
     table = CrashTable(store or MemoryTables(), quarantine, clock, chance)
-    return CrashGossip(table, NoPath(), clock, chance), table, clock
+    return CrashGossip(table, NoNeighbours(), clock, chance), table, clock
 
 
 def crash(number=0, seen_at=990.0, fingerprint="f"):
@@ -58,59 +58,59 @@
     return Crash(f"{fingerprint}/p/{number}", fingerprint, "r", start, seen_at)
 
 
-def hear(news, crashes=(), trials=()):
+def receive(gossip, crashes=(), trials=()):
     body = json.dumps(encode(list(crashes), list(trials), 1000.0)).encode()
-    return asyncio.run(news.serve(Request("POST", "/", "", [], body)))
+    return asyncio.run(gossip.serve(Request("POST", "/", "", [], body)))
 
 
-def test_news_are_read_as_they_were_told():
+def test_a_message_is_decoded_to_the_encoded_crashes_and_trials():
     crashes, trials = [crash(1), crash(2, 999.5)], [trial_key("f", 1)]
     assert decode(encode(crashes, trials, 1000.0), 1000.0) == (crashes, trials)
 
 
-@given(ANY)
-def test_foreign_news_are_refused_and_end_nothing(news):
+@given(ANY_JSON)
+def test_any_json_is_decoded_within_limits_or_raises_value_error(message):
     try:
-        crashes, trials = decode(news, 1000.0)
+        crashes, trials = decode(message, 1000.0)
     except ValueError:
         return
     assert len(crashes) <= MAX_PER_MESSAGE and len(trials) <= MAX_PER_MESSAGE
 
 
 @pytest.mark.parametrize("body", [b"", b"[", b"[]", b"[" * 100_000, b"\xff"])
-def test_a_body_that_is_no_news_is_answered_400(body):
-    news, table, _ = make()
-    answer = asyncio.run(news.serve(Request("POST", "/", "", [], body)))
+def test_a_body_that_is_no_valid_message_is_answered_with_400(body):
+    gossip, table, _ = make()
+    answer = asyncio.run(gossip.serve(Request("POST", "/", "", [], body)))
     assert answer.status == 400 and not table.quarantine.records
 
 
-def test_what_neighbours_tell_counts_and_waits_for_the_one_that_saw_it():
-    news, table, _ = make()
+def test_reported_crashes_are_counted_but_not_queued_for_writing_at_once():
+    gossip, table, _ = make()
     for _ in range(2):
-        assert hear(news, map(crash, range(CRASH_LIMIT))).status == 200
+        assert receive(gossip, map(crash, range(CRASH_LIMIT))).status == 200
     assert table.quarantine.is_held_back("f")
-    assert not table.pending_writes, "who saw them writes them"
+    assert not table.pending_writes, "the process that observed them writes them"
 
 
-def test_what_neighbours_told_is_written_here_where_nobody_else_does():
-    """A process that saw three ends was killed before the store took them."""
-    news, table, clock = make()
+def test_a_reported_crash_is_written_after_a_delay_if_no_other_process_writes_it():
+    """A process that observed three crashes was killed before the store had them."""
+    gossip, table, clock = make()
     table.watch.current_at = clock.monotonic()
-    hear(news, map(crash, range(2)))
+    receive(gossip, map(crash, range(2)))
     table.apply_row(Row(CRASHES_TABLE, crash(0).key, 1, table.row_value(crash(0))))
     table.sweep()
     assert not table.pending_writes
     clock.advance(REPORT_WRITE_DELAYS_S[1])
     table.sweep()
-    assert not table.pending_writes, "cut off, it writes nothing"
+    assert not table.pending_writes, "with an outdated copy it writes nothing"
     table.watch.current_at = clock.monotonic()
     table.sweep()
     assert list(table.pending_writes) == [crash(1).key]
 
 
-def test_a_whole_table_leaves_what_it_never_held():
-    news, table, _ = make()
-    hear(news, [crash(0)])
+def test_a_snapshot_removes_only_crashes_that_the_store_had_before():
+    gossip, table, _ = make()
+    receive(gossip, [crash(0)])
     value = {"server": "s1", "born": 0, "request": "r", "at": 0.0}
     table.apply_snapshot([Row(CRASHES_TABLE, "f/q/1", 1, value)])
     assert table.quarantine.crash_count("f") == 2
@@ -118,61 +118,61 @@
     assert table.quarantine.crash_count("f") == 1
 
 
-def test_a_trial_that_a_neighbour_made_puts_the_own_one_off():
-    news, table, clock = make()
-    hear(news, map(crash, range(CRASH_LIMIT)))
+def test_a_trial_reported_by_a_neighbour_postpones_the_own_one():
+    gossip, table, clock = make()
+    receive(gossip, map(crash, range(CRASH_LIMIT)))
     clock.advance(TRIAL_DELAYS_S[0])
     assert table.quarantine.is_trial_due("f")
-    hear(news, trials=[trial_key("f", 1), "f/trial/none", "g/trial/1"])
+    receive(gossip, trials=[trial_key("f", 1), "f/trial/none", "g/trial/1"])
     assert table.quarantine.trial_count("f") == 1 and not table.quarantine.is_trial_due(
         "f"
     )
 
 
-def test_what_the_store_takes_at_once_is_not_told_to_neighbours():
-    news, table, clock = make()
+def test_a_crash_is_not_sent_to_neighbours_before_its_write_is_delayed():
+    gossip, table, clock = make()
     table.queue_write(crash(seen_at=clock.monotonic()))
-    assert news.take_unsent() == ([], [])
+    assert gossip.take_unsent() == ([], [])
     clock.advance(1)
-    assert len(news.take_unsent()[0]) == 1
+    assert len(gossip.take_unsent()[0]) == 1
 
 
-def test_what_is_told_at_once_is_bounded_and_the_newest():
-    news, table, clock = make(Down())
+def test_a_message_contains_a_limited_number_of_the_newest_crashes():
+    gossip, table, clock = make(UnavailableStore())
     for number in range(3 * MAX_PER_MESSAGE):
         table.queue_write(crash(number, fingerprint=f"f{number}"))
-    crashes, _ = news.take_unsent()
+    crashes, _ = gossip.take_unsent()
     assert len(crashes) == MAX_PER_MESSAGE and crashes[-1].key.startswith("f59")
 
 
-def test_what_there_is_no_room_to_keep_is_not_passed_on():
-    """Two processes that had no room told each other of it without end.
+def test_a_crash_that_cannot_be_recorded_is_not_forwarded():
+    """Two processes without room for a crash sent it to each other endlessly.
 
-    Each took it for new, since it knew it not, and passed it on at once: the seed 43 of
-    the simulation never ended, and took 8 GB.
+    Neither could record it, so each took it for new and forwarded it at once. Seed 43
+    of the simulation never ended and took 8 GB of memory.
     """
-    news, table, clock = make()
+    gossip, table, clock = make()
     for number in range(MAX_CRASHES_PER_RECORD):
         table.quarantine.add_crash(crash(number, seen_at=number * 2.0))
     assert not table.add_reported_crash(crash(MAX_CRASHES_PER_RECORD))
-    hear(news, [crash(MAX_CRASHES_PER_RECORD)])
-    assert news.take_unsent() == ([], [])
+    receive(gossip, [crash(MAX_CRASHES_PER_RECORD)])
+    assert gossip.take_unsent() == ([], [])
 
 
-def test_what_is_new_is_passed_on_once():
-    news, table, _ = make()
-    hear(news, [crash(1)])
-    assert news.take_unsent() == ([crash(1)], [])
-    hear(news, [crash(1)])
-    assert news.take_unsent() == ([], [])
+def test_a_new_crash_is_forwarded_once():
+    gossip, table, _ = make()
+    receive(gossip, [crash(1)])
+    assert gossip.take_unsent() == ([crash(1)], [])
+    receive(gossip, [crash(1)])
+    assert gossip.take_unsent() == ([], [])
 
 
-def test_what_is_passed_on_at_once_is_bounded():
-    news, table, _ = make()
+def test_the_number_of_crashes_to_forward_is_limited():
+    gossip, table, _ = make()
     for number in range(5):
-        told = [
+        crashes = [
             crash(n, fingerprint=f"f{number}.{n}") for n in range(2 * MAX_PER_MESSAGE)
         ]
-        hear(news, told)
-    assert len(news.to_forward) <= MAX_PER_MESSAGE
-    assert len(news.take_unsent()[0]) <= MAX_PER_MESSAGE
+        receive(gossip, crashes)
+    assert len(gossip.to_forward) <= MAX_PER_MESSAGE
+    assert len(gossip.take_unsent()[0]) <= MAX_PER_MESSAGE
