--- a/tests/test_crash_rows.py
+++ b/tests/test_crash_rows.py
@@ -1,4 +1,4 @@
-"""What is kept and written of ends of servers: little, nothing secret, not for ever."""
+"""Records and rows of server crashes: limited in number, contents and age."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 from tests.crash_world import end_three, play
 
 
-def test_a_flood_of_different_requests_under_which_servers_end_stays_small():
+def test_records_and_rows_are_limited_when_many_different_requests_crash_servers():
     async def scenario(world):
         bodies = [b"body-%d" % n for n in range(3 * MAX_RECORDS)]
         world.fatal = set(bodies)
@@ -29,7 +29,7 @@
     play(scenario)
 
 
-def test_nothing_is_written_of_calls_that_another_server_answers():
+def test_no_row_is_written_for_a_request_that_another_server_answers():
     async def scenario(world):
         for number in range(20):
             asked = world.begin(world.ask("g0", b"sound %d" % number))
@@ -44,7 +44,7 @@
     play(scenario)
 
 
-def test_rows_hold_no_body_and_nothing_that_names_a_caller():
+def test_rows_contain_no_body_and_no_key_of_the_caller():
     async def scenario(world):
         world.fatal = {b"a secret body"}
         for _ in range(2):
@@ -59,7 +59,7 @@
     play(scenario)
 
 
-def test_rows_are_removed_when_they_are_forgotten():
+def test_rows_are_removed_after_the_retention_time():
     async def scenario(world):
         await end_three(world)
         await asyncio.sleep(1)
--- a/tests/test_fingerprints.py
+++ b/tests/test_fingerprints.py
@@ -1,10 +1,10 @@
-"""One name for a request, under whatever id it comes."""
+"""Fingerprints of requests: equal for repetitions, different for different requests."""
 
 from gypsumshift.serving import Call
 from gypsumshift.serving.fingerprints import fingerprint
 from tests.jobs_world import HOST, routes
 
-USUAL = {
+REQUEST = {
     "method": "POST",
     "host": HOST,
     "target": "/score/1?x=2",
@@ -13,7 +13,7 @@
 }
 
 
-def test_each_of_its_parts_tells_requests_apart():
+def test_requests_that_differ_in_any_part_have_different_fingerprints():
     others = {
         "method": "PUT",
         "host": "other.example",
@@ -21,25 +21,25 @@
         "caller": "another",
         "body": b"texts",
     }
-    found = {fingerprint(**USUAL | {name: part}) for name, part in others.items()}
-    assert len(found | {fingerprint(**USUAL)}) == len(others) + 1
+    found = {fingerprint(**REQUEST | {name: part}) for name, part in others.items()}
+    assert len(found | {fingerprint(**REQUEST)}) == len(others) + 1
 
 
-def test_parts_do_not_run_into_each_other():
+def test_moving_characters_between_parts_changes_the_fingerprint():
     one = fingerprint("POST", HOST, "/a", "bc", b"d")
     assert one != fingerprint("POST", HOST, "/ab", "c", b"d")
     assert one != fingerprint("POST", HOST, "/a", "b", b"cd")
 
 
-def test_hosts_are_told_apart_as_routes_do():
-    assert fingerprint(**USUAL) == fingerprint(**USUAL | {"host": HOST.upper()})
+def test_the_case_of_the_host_name_is_ignored_as_in_routes():
+    assert fingerprint(**REQUEST) == fingerprint(**REQUEST | {"host": HOST.upper()})
 
 
-def test_any_text_and_any_bytes_have_one():
+def test_unpaired_surrogates_and_any_bytes_are_accepted():
     assert len(fingerprint("POST", "", "/\ud800\xff", "", bytes(range(256)))) == 32
 
 
-def test_a_call_under_a_new_id_has_the_same_one():
+def test_calls_that_differ_in_id_headers_and_deadline_have_the_same_fingerprint():
     route = routes().find(HOST, "/score/")
     calls = [
         Call(name, "POST", "/score/1", HOST, headers, b"x", route, deadline)
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -1,4 +1,4 @@
-"""Trials of what is held back: made by one process, and not lost for nothing."""
+"""Trials of held-back requests: each made by one process, unused ones made again."""
 
 import asyncio
 import datetime
@@ -20,77 +20,77 @@
 from tests.builders import ManualClock
 from tests.crash_world import BACK_AFTER, KINDS, POISON, TOLD_AFTER, end_three, play
 
-FIRST = TRIAL_DELAYS_S[0]
+FIRST_DELAY_S = TRIAL_DELAYS_S[0]
 
 
-def rows(world):
+def crash_row_keys(world):
     return [key for table, _, key in world.tables.rows if table == CRASHES_TABLE]
 
 
-async def held(world, name="g0"):
-    """Have a request held back; return its fingerprint."""
+async def hold_back_request(world, name="g0"):
+    """Crash three servers, wait until a trial is due, and return the fingerprint."""
     await end_three(world)
-    await asyncio.sleep(max(FIRST, BACK_AFTER + TOLD_AFTER))
+    await asyncio.sleep(max(FIRST_DELAY_S, BACK_AFTER + TOLD_AFTER))
     return world.call(POISON).fingerprint
 
 
-def test_who_finds_a_request_cleared_while_it_claims_leaves_anothers_claim():
+def test_a_request_cleared_during_a_claim_leaves_the_claim_of_another_process():
     async def scenario(world):
-        fingerprint = await held(world)
+        fingerprint = await hold_back_request(world)
         guard = world.gateways["g0"].guard
-        claims = guard.table.claim_trial
+        claim_trial = guard.table.claim_trial
 
         async def cleared_meanwhile(*arguments):
             other = world.gateways["g1"].guard.table
             await other.claim_trial(*arguments)
-            outcome = await claims(*arguments)
+            outcome = await claim_trial(*arguments)
             guard.quarantine.clear(fingerprint)
             return outcome
 
         guard.table.claim_trial = cleared_meanwhile
         await guard.admit(fingerprint, "r")
         await asyncio.sleep(1)
-        assert trial_key(fingerprint, 1) in rows(world)
+        assert trial_key(fingerprint, 1) in crash_row_keys(world)
 
     play(scenario)
 
 
-def test_a_withdrawal_that_comes_late_leaves_a_newer_claim():
+def test_a_repeated_late_withdrawal_does_not_remove_a_newer_claim():
     async def scenario(world):
-        fingerprint = await held(world)
+        fingerprint = await hold_back_request(world)
         table = world.gateways["g0"].guard.table
         way = world.ways["g0"]
         assert (await table.claim_trial(fingerprint, 1)).name == "OWN"
-        # Withdrawn; the store carries a copy of that out once more, later.
+        # After the withdrawal, the store executes a copy of the removal again later.
         way.writes.clear()
         table.withdraw_trial(fingerprint, 1)
         await asyncio.sleep(0.5)
-        late = [w for w in way.writes if w.key == trial_key(fingerprint, 1)]
-        assert late and trial_key(fingerprint, 1) not in rows(world)
+        repeated = [w for w in way.writes if w.key == trial_key(fingerprint, 1)]
+        assert repeated and trial_key(fingerprint, 1) not in crash_row_keys(world)
         other = world.gateways["g1"].guard.table
         assert (await other.claim_trial(fingerprint, 1)).name == "OWN"
-        await world.tables.commit(late)
-        assert trial_key(fingerprint, 1) in rows(world)
+        await world.tables.commit(repeated)
+        assert trial_key(fingerprint, 1) in crash_row_keys(world)
 
     play(scenario)
 
 
-def test_a_claim_that_the_store_answered_too_late_is_used_at_the_next_request():
+def test_a_claim_answered_after_its_timeout_is_used_for_the_next_request():
     async def scenario(world):
-        fingerprint = await held(world)
+        fingerprint = await hold_back_request(world)
         world.fatal = set()
         world.ways["g0"].slow = 1.0
         assert isinstance(await world.ask("g0", POISON), HeldBack)
         world.ways["g0"].slow = 0.0
-        await asyncio.sleep(2 * FIRST)
+        await asyncio.sleep(2 * FIRST_DELAY_S)
         assert world.gateways["g0"].guard.quarantine.trial_count(fingerprint) == 0
         assert isinstance(await world.ask("g0", POISON), Answered)
 
     play(scenario)
 
 
-def test_a_trial_whose_caller_leaves_is_made_to_its_end():
-    """One that was cut told nothing, and the next one was 20 s away."""
+def test_a_trial_is_completed_after_its_caller_disconnects():
+    """An aborted trial would give no result, and the next is due only 20 s later."""
 
     async def scenario(world, prefix):
         await end_three(world, prefix=prefix)
@@ -104,9 +104,9 @@
         play(functools.partial(scenario, prefix=prefix))
 
 
-def test_a_process_that_starts_counts_a_trial_from_when_it_was_made():
+def test_a_started_process_counts_the_delay_from_the_time_of_the_last_trial():
     async def scenario(world):
-        await held(world)
+        await hold_back_request(world)
         await world.ask("g0", POISON)
         await asyncio.sleep(0.7 * TRIAL_DELAYS_S[1])
         gateway = world.start_gateway("g1")
@@ -119,7 +119,7 @@
     play(scenario)
 
 
-def test_a_request_that_only_ran_beside_another_is_sent_by_a_call():
+def test_a_request_that_only_ran_beside_one_with_more_crashes_is_answered():
     async def scenario(world):
         await end_three(world)
         guard = world.gateways["g0"].guard
@@ -143,7 +143,7 @@
     play(scenario)
 
 
-def test_a_gateway_that_was_told_once_stays_ready_while_history_is_lost():
+def test_a_loaded_guard_stays_loaded_when_the_store_loses_its_history():
     async def scenario(world):
         guard = world.gateways["g0"].guard
         assert guard.loaded
@@ -157,7 +157,7 @@
     play(scenario)
 
 
-def test_rows_that_are_too_old_are_removed_some_at_a_time():
+def test_expired_rows_are_removed_in_limited_batches():
     clock = ManualClock()
     chance = random.Random(1)
     table = CrashTable(MemoryTables(), Quarantine(clock), clock, chance)
