--- a/tests/crash_fakes.py
+++ b/tests/crash_fakes.py
@@ -1,6 +1,6 @@
-"""Builders for tests of servers that end: what gateways see of store and servers.
+"""Fakes for crash tests: store, neighbours and server connections of gateways.
 
-All time is the loop's own.
+All delays are in the time of the event loop.
 """
 
 import asyncio
@@ -16,32 +16,32 @@
 from gypsumshift.server import Request
 from tests.jobs_world import NAMES
 
-# Seconds on the way, in each direction.
-WAY = 0.0015
-# Seconds of work on an event of a stream, and events of a whole one.
-WORK, EVENTS = 0.03, 8
+# Network delay in each direction.
+ONE_WAY_S = 0.0015
+# Processing time of one event of a stream, and number of events of a whole stream.
+EVENT_TIME_S, EVENT_COUNT = 0.03, 8
 
 
-class Tables(MemoryTables):
-    """Tables whose time is the loop's own."""
+class LoopTimeTables(MemoryTables):
+    """In-memory tables whose clock is the time of the event loop."""
 
     def now(self):
         return datetime.timedelta(seconds=asyncio.get_running_loop().time())
 
 
-class Way(WrappedStore):
-    """The way of one gateway to the store.
+class GatewayStore(WrappedStore):
+    """Connection of one gateway to the store, with delays and faults.
 
     Attributes
     ----------
     down : bool
-        Whether no call gets through.
+        Whether all calls fail.
     lose : float
-        Share of the writes that are carried out and not answered.
+        Share of the commits that are executed but whose answer is lost.
     slow : float
-        Seconds by which answers to writes come late.
+        Delay in seconds of answers to commits.
     writes : list of Write
-        All that were sent.
+        All writes sent to the store.
     """
 
     def __init__(self, tables, chance):
@@ -74,7 +74,7 @@
 
 @attrs.define
 class Run:
-    """One request as a server began it."""
+    """One request that a server started to run."""
 
     at: float
     request: str
@@ -83,26 +83,26 @@
     server: str
 
 
-async def work(broken, seconds):
-    """Work at a server; raises where it ends meanwhile."""
+async def run_for(broken, seconds):
+    """Wait for some seconds; raises FetchError if the server crashes meanwhile."""
     try:
         async with asyncio.timeout(seconds):
             await broken.wait()
     except TimeoutError:
         return
-    raise FetchError("the connection broke", True, closed=True)
+    raise FetchError("connection closed by the server", True, closed=True)
 
 
 @attrs.define(eq=False)
 class Worker:
-    """A server, through all of its starts.
+    """A server across all of its starts.
 
     Attributes
     ----------
     broken : asyncio.Event
-        Set when this start ends.
+        Set when the current start crashes.
     failing : bool
-        Whether it answers all with a failure, and runs nothing.
+        Whether it answers every request with status 500 without running it.
     """
 
     address: tuple[str, int]
@@ -112,8 +112,8 @@
     broken: asyncio.Event = attrs.field(factory=asyncio.Event)
 
 
-class Neighbours:
-    """The way of one gateway to the others, in place of a `StorePath`."""
+class FakeStorePath:
+    """Replacement of a `StorePath`: connects one gateway to its neighbours."""
 
     def __init__(self, world, name):
         self.world = world
@@ -122,19 +122,19 @@
 
     @property
     def neighbours(self):
-        return {n: Neighbour(n, (n, 0)) for n in self.world.news if n != self.name}
+        return {n: Neighbour(n, (n, 0)) for n in self.world.gossips if n != self.name}
 
     async def fetch(self, address, method, target, body=b"", timeout=1.0):
-        await asyncio.sleep(2 * WAY)
-        if self.world.alone & {self.name, address[0]}:
+        await asyncio.sleep(2 * ONE_WAY_S)
+        if self.world.isolated & {self.name, address[0]}:
             raise FetchError("no answer in time", True)
-        return await self.world.news[address[0]].serve(
+        return await self.world.gossips[address[0]].serve(
             Request(method, target, "", [], body)
         )
 
 
-class Exchange:
-    """A whole answer, or a stream of events."""
+class FakeExchange:
+    """A complete response."""
 
     def __init__(self, headers, body=b"ok", status=200):
         self.status = status
@@ -151,11 +151,11 @@
         yield self.body
 
     def close(self):
-        """Nothing is held."""
+        """Do nothing, since no resource is held."""
 
 
-class Flow(Exchange):
-    """A stream of events, which breaks when its server ends."""
+class FakeStream(FakeExchange):
+    """A stream of events that breaks when its server crashes."""
 
     def __init__(self, headers, broken, after):
         super().__init__(headers)
@@ -163,13 +163,13 @@
         self.after = after
 
     async def chunks(self):
-        for number in range(self.after + 1, EVENTS + 1):
-            await work(self.broken, WORK)
+        for number in range(self.after + 1, EVENT_COUNT + 1):
+            await run_for(self.broken, EVENT_TIME_S)
             yield b"id: %d\ndata: x\n\n" % number
 
 
-class Wires:
-    """The way of one gateway to the servers, in place of a `Fetcher`."""
+class FakeFetcher:
+    """Replacement of a `Fetcher`: connects one gateway to the servers."""
 
     def __init__(self, world, name):
         self.world = world
@@ -180,27 +180,27 @@
         return self.world.worker(address).up
 
     def cut(self, address):
-        """Nothing lies idle."""
+        """Do nothing, since there are no idle connections."""
 
     async def refuses(self, address, timeout):
         await self.reach(timeout)
         return not self.world.worker(address).up
 
     async def reach(self, timeout):
-        """Open a connection; silent where this gateway is cut off."""
-        self.world.opened += 1
-        await asyncio.sleep(timeout if self.cut_off else 2 * WAY)
+        """Open a connection; raises FetchError on time-out if `cut_off` is set."""
+        self.world.connections_opened += 1
+        await asyncio.sleep(timeout if self.cut_off else 2 * ONE_WAY_S)
         if self.cut_off:
-            raise FetchError("no connection", False)
+            raise FetchError("connect timed out", False)
 
     async def open(self, address, method, target, fields, body=b"", **options):
         await self.reach(options.get("connect_timeout", 0.3))
         worker = self.world.worker(address)
         if not worker.up:
-            raise FetchError("nobody listens", False, refused=True)
+            raise FetchError("connection refused", False, refused=True)
         fields = dict(fields)
         if fields[NAMES.expected_server] != worker.id:
-            return Exchange([], status=421)
+            return FakeExchange([], status=421)
         run = Run(self.world.now, fields[NAMES.request_id], body, self.name, worker.id)
         after = int(fields.get(NAMES.last_event, 0))
         streams = target.startswith(("/flow/", "/resumed/"))
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -1,7 +1,7 @@
-"""Builders for tests of servers that end: gateways before servers, without a network.
+"""Simulation for crash tests: gateways, servers and callers without a network.
 
-A server ends under each request whose body is in `CrashWorld.fatal`, and comes back
-some seconds later under a new id. All time is the loop's own.
+A server crashes under each request whose body is in `CrashWorld.fatal`, and restarts
+some seconds later under a new id. All delays are in the time of the event loop.
 """
 
 import asyncio
@@ -28,26 +28,27 @@
 from gypsumshift.serving.streams import Stream
 from tests import own_time
 from tests.crash_fakes import (
-    WORK,
-    Exchange,
-    Flow,
-    Neighbours,
-    Tables,
-    Way,
-    Wires,
+    EVENT_TIME_S,
+    FakeExchange,
+    FakeFetcher,
+    FakeStorePath,
+    FakeStream,
+    GatewayStore,
+    LoopTimeTables,
     Worker,
-    work,
+    run_for,
 )
 from tests.jobs_world import HOST, METRICS, NAMES
 from tests.own_time import LoopClock
 
-# Seconds until a request ends its server, until that is back, until gateways are told
-# that it is, and for which the entry of one that is gone stays.
-FATAL_AFTER, BACK_AFTER, TOLD_AFTER, ENTRY_STAYS = 0.11, 3.5, 0.3, 3.6
-# Time within which an answer is on time; a second server is asked after half of it.
+# Delays from the start of a fatal request to the crash of its server, from the crash to
+# the restart, from the restart to its entry in the gateways' directories, and from the
+# crash to the removal of the old entry.
+CRASH_DELAY_S, RESTART_DELAY_S, LISTING_DELAY_S, UNLISTING_DELAY_S = 0.11, 3.5, 0.3, 3.6
+# Objective for the response time; a second server is tried after half of it.
 OBJECTIVE = datetime.timedelta(milliseconds=160)
-# Seconds that a caller waits.
-PATIENCE = 2.0
+# Time that a caller waits for an answer.
+CALLER_TIMEOUT_S = 2.0
 KINDS = {
     "/safe/": RequestKind.SAFE,
     "/once/": RequestKind.UNSAFE,
@@ -58,7 +59,7 @@
 
 
 def routes(attempts=2):
-    """Return a configuration with one route of each kind to one service."""
+    """Return a route table with one route of each kind to one service."""
     found = [
         Route(
             prefix,
@@ -76,50 +77,50 @@
 
 
 class CrashWorld:
-    """Gateways before the servers of one service, over one store.
+    """Gateways that share one store and forward requests to the servers of one service.
 
     Parameters
     ----------
     seed : int
     gateways, servers : int
     attempts : int
-        Servers that a request may run on, by its route.
+        Number of servers on which a request may run, set in its route.
 
     Attributes
     ----------
     fatal : set of bytes
-        Bodies under which servers end.
+        Bodies of the requests that crash servers.
     runs : list of Run
-    ended : list of (float, bytes)
-        When a server ended, and under which body.
-    head_after : float
-        Seconds until a stream begins.
-    alone : set of str
-        Gateways that no neighbour reaches.
-    patience : float
-        Seconds that a caller waits.
-    opened : int
-        Connections to servers.
+    crashes : list of (float, bytes)
+        Time of each crash, and body of the request that caused it.
+    head_delay : float
+        Seconds until the head of a stream is sent.
+    isolated : set of str
+        Gateways that exchange no messages with neighbours.
+    caller_timeout_s : float
+        Seconds that a caller waits for an answer.
+    connections_opened : int
+        Number of connections opened to servers.
     """
 
     def __init__(self, seed=1, gateways=3, servers=5, attempts=2):
         self.chance = random.Random(seed)
         self.clock = LoopClock()
-        self.tables = Tables()
+        self.tables = LoopTimeTables()
         self.routes = routes(attempts)
         self.numbers = itertools.count(1)
-        self.head_after = 0.0
-        self.patience = PATIENCE
-        self.opened = 0
+        self.head_delay = 0.0
+        self.caller_timeout_s = CALLER_TIMEOUT_S
+        self.connections_opened = 0
         self.fatal = {POISON}
         self.runs = []
-        self.ended = []
+        self.crashes = []
         self.tasks = []
         self.gateways = {}
-        self.ways = {}
-        self.works = {}
-        self.news = {}
-        self.alone = set()
+        self.stores = {}
+        self.gateway_tasks = {}
+        self.gossips = {}
+        self.isolated = set()
         self.workers = [Worker(("10.0.0.1", n)) for n in range(servers)]
         for worker in self.workers:
             worker.id = self.new_id()
@@ -134,17 +135,17 @@
         return f"i-{next(self.numbers)}"
 
     def start_gateway(self, name):
-        """Start a gateway, or start it again; it knows what is listed."""
-        if name in self.works:
-            self.works[name].cancel()
-        self.ways[name] = Way(self.tables, self.chances())
+        """Start or restart a gateway that knows the servers listed now."""
+        if name in self.gateway_tasks:
+            self.gateway_tasks[name].cancel()
+        self.stores[name] = GatewayStore(self.tables, self.new_random())
         directory = Directory()
         directory.set_routes(self.routes)
         for worker in self.workers:
             if worker.up:
                 directory.set_server(self.entry(worker))
         self.gateways[name] = gateway = Gateway(
-            self.ways[name],
+            self.stores[name],
             directory,
             [],
             Admission(directory, None, METRICS),
@@ -152,22 +153,22 @@
             NAMES,
             "here",
             self.clock,
-            Wires(self, name),
-            self.chances(),
+            FakeFetcher(self, name),
+            self.new_random(),
             METRICS,
         )
-        path = Neighbours(self, name)
-        news = CrashGossip(gateway.guard.table, path, self.clock, self.chances())
-        self.news[name] = news
-        gateway.joining.append(news.run)
-        self.works[name] = self.begin(gateway.run())
+        path = FakeStorePath(self, name)
+        gossip = CrashGossip(gateway.guard.table, path, self.clock, self.new_random())
+        self.gossips[name] = gossip
+        gateway.joining.append(gossip.run)
+        self.gateway_tasks[name] = self.start_task(gateway.run())
         return gateway
 
-    def chances(self):
+    def new_random(self):
         return random.Random(self.chance.getrandbits(32))
 
-    def begin(self, work):
-        task = asyncio.create_task(work)
+    def start_task(self, coroutine):
+        task = asyncio.create_task(coroutine)
         self.tasks.append(task)
         return task
 
@@ -180,51 +181,51 @@
     # Servers.
 
     async def run(self, worker, run, streams, after):
-        """Run a request at a server; raises where the server ends meanwhile."""
+        """Run a request at a server; raises FetchError if the server crashes."""
         self.runs.append(run)
         if worker.failing:
-            return Exchange(
+            return FakeExchange(
                 [(NAMES.request_id.encode(), run.request.encode())], b"", 500
             )
         if run.body in self.fatal:
-            self.begin(self.end_later(worker, worker.id, run.body))
+            self.start_task(self.crash_later(worker, worker.id, run.body))
         headers = [
             (NAMES.request_id.encode(), run.request.encode()),
             (NAMES.signature.encode(), b"s"),
         ]
         if streams:
-            await work(worker.broken, self.head_after)
-            return Flow(headers, worker.broken, after)
-        await work(worker.broken, 60.0 if run.body in self.fatal else WORK)
-        return Exchange(headers)
-
-    async def end_later(self, worker, started, body):
-        await asyncio.sleep(FATAL_AFTER)
-        if worker.up and worker.id == started:
-            self.ended.append((self.clock.monotonic(), body))
-            await self.end(worker)
-
-    async def end(self, worker, back_after=BACK_AFTER):
-        """End a server, and bring it back as a new one."""
+            await run_for(worker.broken, self.head_delay)
+            return FakeStream(headers, worker.broken, after)
+        await run_for(worker.broken, 60.0 if run.body in self.fatal else EVENT_TIME_S)
+        return FakeExchange(headers)
+
+    async def crash_later(self, worker, server_id, body):
+        await asyncio.sleep(CRASH_DELAY_S)
+        if worker.up and worker.id == server_id:
+            self.crashes.append((self.clock.monotonic(), body))
+            await self.crash_server(worker)
+
+    async def crash_server(self, worker, back_after=RESTART_DELAY_S):
+        """Crash a server, and restart it under a new id."""
         old = worker.id
         worker.up = False
         worker.broken.set()
-        self.begin(self.unlist(old))
+        self.start_task(self.unlist(old))
         await asyncio.sleep(back_after)
         worker.id, worker.up, worker.broken = self.new_id(), True, asyncio.Event()
-        await asyncio.sleep(TOLD_AFTER)
+        await asyncio.sleep(LISTING_DELAY_S)
         for gateway in self.gateways.values():
             gateway.directory.set_server(self.entry(worker))
 
     async def unlist(self, server_id):
-        await asyncio.sleep(ENTRY_STAYS)
+        await asyncio.sleep(UNLISTING_DELAY_S)
         for gateway in self.gateways.values():
             gateway.directory.forget_server(server_id)
 
     # Callers.
 
     def call(self, body, prefix="/safe/", workspace=""):
-        """Return a request under a new id."""
+        """Return a call with a new request id."""
         target = f"{prefix}1"
         name = f"r-{next(self.numbers)}"
         return Call(
@@ -235,12 +236,12 @@
             [(NAMES.request_id, name)],
             body,
             self.routes.find(HOST, target),
-            self.clock.monotonic() + self.patience,
+            self.clock.monotonic() + self.caller_timeout_s,
             grant=Grant(workspace),
         )
 
-    async def ask(self, name, body, prefix="/safe/", workspace=""):
-        """Have a gateway answer a request; a stream is read to its end."""
+    async def send(self, name, body, prefix="/safe/", workspace=""):
+        """Send a request to a gateway; return the outcome, of a stream once read."""
         gateway, call = self.gateways[name], self.call(body, prefix, workspace)
         if call.route.kind is not RequestKind.STREAM:
             return await gateway.forwarder.forward(call)
@@ -253,33 +254,35 @@
             return Unknown(str(reason))
         return Answered(outcome.status, (), data)
 
-    async def ask_and_leave(self, name, body, prefix, after):
-        """Ask a gateway, and leave before it has an answer."""
-        asked = self.begin(self.ask(name, body, prefix))
+    async def send_and_disconnect(self, name, body, prefix, after):
+        """Send a request to a gateway, and disconnect after some seconds."""
+        sending = self.start_task(self.send(name, body, prefix))
         await asyncio.sleep(after)
-        asked.cancel()
-        await asyncio.wait({asked})
+        sending.cancel()
+        await asyncio.wait({sending})
 
-    async def keep_asking(self, body, seconds, period, names=None, prefix="/safe/"):
-        """Send a body again and again at gateways in turn; return the outcomes."""
-        begun = []
+    async def send_repeatedly(self, body, seconds, period, names=None, prefix="/safe/"):
+        """Send a body periodically, to the gateways in turn; return the outcomes."""
+        tasks = []
         until = self.clock.monotonic() + seconds
         for name in itertools.cycle(names or list(self.gateways)):
             if self.clock.monotonic() >= until:
-                return await asyncio.gather(*begun)
-            begun.append(self.begin(self.ask(name, body, prefix)))
+                return await asyncio.gather(*tasks)
+            tasks.append(self.start_task(self.send(name, body, prefix)))
             await asyncio.sleep(period)
 
-    # What is checked.
+    # Results.
 
     def runs_of(self, body, since=0.0):
-        """Return the runs of a body that began later than a time."""
+        """Return the runs of a body that started after a time."""
         return [run for run in self.runs if run.body == body and run.at > since]
 
     def late_runs(self, body, seconds):
-        """Return the runs of a body later than so long after it had ended the third."""
-        ends = [at for at, under in self.ended if under == body]
-        return self.runs_of(body, ends[2] + seconds) if len(ends) > 2 else []
+        """Return the runs of a body that started some seconds after its third crash."""
+        crash_times = [at for at, under in self.crashes if under == body]
+        return (
+            self.runs_of(body, crash_times[2] + seconds) if len(crash_times) > 2 else []
+        )
 
     async def close(self):
         for task in self.tasks:
@@ -287,8 +290,8 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-def play(scenario, **options):
-    """Run a scenario on a world of its own, in its own time."""
+def run_scenario(scenario, **options):
+    """Run a scenario with a new `CrashWorld` in simulated time."""
 
     async def run():
         world = CrashWorld(**options)
@@ -301,9 +304,9 @@
     own_time.play(run)
 
 
-async def end_three(world, names=("g0",), prefix="/safe/"):
-    """Have three servers end under the request, at some gateways."""
+async def crash_three_servers(world, names=("g0",), prefix="/safe/"):
+    """Send the fatal request to some gateways until three servers have crashed."""
     for number in range(2 * CRASH_LIMIT):
-        if len(world.ended) >= CRASH_LIMIT:
+        if len(world.crashes) >= CRASH_LIMIT:
             return
-        await world.ask(names[number % len(names)], POISON, prefix)
+        await world.send(names[number % len(names)], POISON, prefix)
--- a/tests/test_fatal_machine.py
+++ b/tests/test_fatal_machine.py
@@ -1,8 +1,9 @@
-"""Requests under which servers end, amid faults drawn by a seed, in the loop's time.
+"""Requests that crash servers, with random faults, in simulated time.
 
-What users saw is told in `test_fatal_requests.py`. Here gateways start again, are cut
-off from the store or from each other, the store is away, slow, loses answers and its
-history, servers are lost by themselves, and callers leave before they are answered.
+Guards against the failure described in `test_fatal_requests.py` while, drawn from a
+seed, gateways restart or lose contact to the store or to each other, the store is
+unavailable, slow, or loses answers or its history, servers fail by themselves, and
+callers disconnect early.
 """
 
 import asyncio
@@ -16,30 +17,34 @@
 from tests import own_time
 from tests.crash_world import KINDS, CrashWorld
 
-# Seconds with faults, and of calm behind them.
-FAULTS, CALM = 25.0, 8.0
-# Seconds that a gateway must have been undisturbed for to be in touch, within which all
-# that are know, and requests of which these may send something later.
-IN_TOUCH, KNOWN_WITHIN, RETRIES_LEFT = 3.0, 3.0, 3
+# Time with faults, and time without faults after it.
+FAULTS_S, CALM_S = 25.0, 8.0
+# Time without disturbance after which a gateway counts as connected, time within which
+# all connected gateways know of the crashes, and number of requests that these may
+# still send to servers after that.
+CONNECTED_AFTER_S, PROPAGATION_LIMIT_S, LATE_REQUESTS_ALLOWED = 3.0, 3.0, 3
 FATAL = (b"fatal one", b"fatal two")
-# Seeds in which a stream was whole before its last server ended, and was cleared.
-PIECED_TOGETHER = (12, 28, 65, 156, 219, 267, 300)
-# One in which the only process that saw a lone end was killed before it told of it.
-TOLD_LATE = (92,)
-# One in which processes without room told each other of one end without end.
-TOLD_ROUND = (43,)
-# One in which a trial that ended its server was followed by the next at once.
-TRIED_TWICE = (896,)
-FOUND = PIECED_TOGETHER + TOLD_LATE + TOLD_ROUND + TRIED_TWICE
+# Seeds that found a fault. Here a resumed stream was complete before its last server
+# crashed, and the request was cleared.
+RESUMED_STREAM_CLEARED = (12, 28, 65, 156, 219, 267, 300)
+# The only process that observed a single crash was killed before it shared it.
+CRASH_NOT_SHARED = (92,)
+# Processes without room to record a crash sent it to each other endlessly.
+ENDLESS_GOSSIP = (43,)
+# A trial that crashed its server was followed by the next trial at once.
+TRIAL_WITHOUT_DELAY = (896,)
+SEEDS_WITH_FAULTS = (
+    RESUMED_STREAM_CLEARED + CRASH_NOT_SHARED + ENDLESS_GOSSIP + TRIAL_WITHOUT_DELAY
+)
 
 
-class Days(CrashWorld):
-    """Gateways, servers and callers, disturbed by chance.
+class FaultRun(CrashWorld):
+    """Simulation with random faults of gateways, store and servers.
 
     Attributes
     ----------
     disturbed : dict
-        By gateway, the spans of time in which it was not in order.
+        Time spans in which each gateway was disturbed, by gateway name.
     """
 
     def __init__(self, seed):
@@ -47,110 +52,112 @@
         self.fatal = set(FATAL)
         self.disturbed = collections.defaultdict(list)
         self.faults = [
-            self.restart,
-            self.cut_from_store,
-            self.leave_alone,
-            self.trouble_store,
-            self.lose_server,
+            self.restart_gateway,
+            self.disconnect_from_store,
+            self.isolate_gateway,
+            self.disturb_store,
+            self.crash_random_server,
             self.lose_history,
         ]
 
-    async def play(self):
+    async def simulate(self):
         await asyncio.sleep(0.2)
-        callers = [self.begin(self.send(body)) for body in FATAL]
-        callers.append(self.begin(self.send(b"popular", (0.02, 0.06))))
-        until = self.now + FAULTS
+        callers = [self.start_task(self.run_caller(body)) for body in FATAL]
+        callers.append(self.start_task(self.run_caller(b"popular", (0.02, 0.06))))
+        until = self.now + FAULTS_S
         while self.now < until:
-            self.begin(self.chance.choice(self.faults)(self.chance.uniform(0.3, 4.0)))
+            self.start_task(
+                self.chance.choice(self.faults)(self.chance.uniform(0.3, 4.0))
+            )
             await asyncio.sleep(self.chance.uniform(0.1, 1.5))
-        await asyncio.sleep(CALM)
+        await asyncio.sleep(CALM_S)
         for caller in callers:
             caller.cancel()
         await self.check()
 
-    async def send(self, body, gaps=(0.1, 0.6)):
-        """Send a body again and again; some callers leave before they are answered."""
-        chance = self.chances()
+    async def run_caller(self, body, gaps=(0.1, 0.6)):
+        """Send a body repeatedly; some callers disconnect before the answer."""
+        chance = self.new_random()
         prefix = chance.choice(list(KINDS))
         while True:
             name = chance.choice(list(self.gateways))
             if chance.random() < 0.3:
                 after = chance.uniform(0.0, 0.15)
-                self.begin(self.ask_and_leave(name, body, prefix, after))
+                self.start_task(self.send_and_disconnect(name, body, prefix, after))
             else:
-                self.begin(self.ask(name, body, prefix))
+                self.start_task(self.send(name, body, prefix))
             await asyncio.sleep(chance.uniform(*gaps))
 
-    # Faults, each for some seconds.
+    # Faults, each lasting for some seconds.
 
-    async def span(self, seconds, *names):
-        """Wait, and note for whom something was out of order meanwhile."""
+    async def disturb(self, seconds, *names):
+        """Wait for some seconds, and record this time as a disturbance of gateways."""
         began = self.now
         for name in names:
             self.disturbed[name].append((began, began + seconds))
         await asyncio.sleep(seconds)
 
-    def draw(self):
+    def random_gateway(self):
         return self.chance.choice(list(self.gateways))
 
-    async def restart(self, seconds):
-        name = self.draw()
+    async def restart_gateway(self, seconds):
+        name = self.random_gateway()
         self.start_gateway(name)
-        await self.span(0.0, name)
-
-    async def cut_from_store(self, seconds):
-        name = self.draw()
-        way = self.ways[name]
-        way.down = True
-        await self.span(seconds, name)
-        way.down = False
-
-    async def leave_alone(self, seconds):
-        name = self.draw()
-        self.alone.add(name)
+        await self.disturb(0.0, name)
+
+    async def disconnect_from_store(self, seconds):
+        name = self.random_gateway()
+        store = self.stores[name]
+        store.down = True
+        await self.disturb(seconds, name)
+        store.down = False
+
+    async def isolate_gateway(self, seconds):
+        name = self.random_gateway()
+        self.isolated.add(name)
         await asyncio.sleep(seconds)
-        self.alone.discard(name)
+        self.isolated.discard(name)
 
-    async def trouble_store(self, seconds):
+    async def disturb_store(self, seconds):
         kind, value = self.chance.choice(
             [("down", True), ("lose", 0.5), ("slow", 0.3), ("slow", 1.0)]
         )
-        ways = list(self.ways.values())
-        for way in ways:
-            setattr(way, kind, value)
-        await self.span(seconds, *self.gateways)
-        for way in ways:
-            setattr(way, kind, type(value)())
-
-    async def lose_server(self, seconds):
+        stores = list(self.stores.values())
+        for store in stores:
+            setattr(store, kind, value)
+        await self.disturb(seconds, *self.gateways)
+        for store in stores:
+            setattr(store, kind, type(value)())
+
+    async def crash_random_server(self, seconds):
         up = [worker for worker in self.workers if worker.up]
         if len(up) > 1:
-            await self.end(self.chance.choice(up), seconds)
+            await self.crash_server(self.chance.choice(up), seconds)
 
     async def lose_history(self, seconds):
         self.tables.forget()
 
-    # What is checked.
+    # Checks.
 
-    def in_touch(self, name, at):
+    def was_connected(self, name, at):
         spans = self.disturbed[name]
-        return not any(a <= at and b >= at - IN_TOUCH for a, b in spans)
+        return not any(a <= at and b >= at - CONNECTED_AFTER_S for a, b in spans)
 
     async def check(self):
         for task in self.tasks:
             if task.done() and not task.cancelled():
                 task.result()
         for body in FATAL:
-            late = self.late_runs(body, KNOWN_WITHIN)
-            late = {r.request for r in late if self.in_touch(r.sender, r.at)}
-            assert len(late) <= RETRIES_LEFT, (body, late)
+            late = self.late_runs(body, PROPAGATION_LIMIT_S)
+            late = {r.request for r in late if self.was_connected(r.sender, r.at)}
+            assert len(late) <= LATE_REQUESTS_ALLOWED, (body, late)
         for name, gateway in self.gateways.items():
             assert len(gateway.guard.quarantine.records) <= MAX_RECORDS
-            assert isinstance(await self.ask(name, b"popular"), Answered), name
+            assert isinstance(await self.send(name, b"popular"), Answered), name
 
 
-class DaysWithFailures(Days):
-    """The same with servers that answer all with a failure for a while."""
+class FaultRunWithFailures(FaultRun):
+    """Simulation in which servers also answer everything with a failure for a while."""
 
     def __init__(self, seed):
         super().__init__(seed)
@@ -164,17 +171,17 @@
 
 
 @pytest.mark.parametrize(
-    ("days", "seed"),
+    ("simulation", "seed"),
     [
-        *((Days, seed) for seed in (*range(6), *FOUND)),
-        *((DaysWithFailures, seed) for seed in range(6)),
+        *((FaultRun, seed) for seed in (*range(6), *SEEDS_WITH_FAULTS)),
+        *((FaultRunWithFailures, seed) for seed in range(6)),
     ],
 )
-def test_what_ends_servers_is_held_back_and_sound_requests_are_not(days, seed):
+def test_fatal_requests_are_held_back_and_sound_ones_answered(simulation, seed):
     async def run(seed):
-        world = days(seed)
+        world = simulation(seed)
         try:
-            await world.play()
+            await world.simulate()
         finally:
             await world.close()
 
