--- a/tests/test_fatal_dispatch.py
+++ b/tests/test_fatal_dispatch.py
@@ -1,7 +1,8 @@
-"""The product's own deployment: what ends backend servers is held back by its entry.
+"""Entries of the product's own deployment hold back requests that crash servers.
 
-Told in `test_fatal_requests.py`. Here a request went to four servers in each call, and
-a sample whose engine ended was taken up by the next one without end.
+Guards against the failure described in `test_fatal_requests.py`. Here each call sent a
+request to four servers, and a sample whose engine crashed was moved to the next
+engine without limit.
 """
 
 import asyncio
@@ -18,9 +19,9 @@
 FATAL = b"fatal"
 
 
-def make_fragile(servers, name):
-    """Have servers end under what holds the text; return those that ended."""
-    ended = []
+def make_crash_on_fatal(servers, name):
+    """Make servers crash under requests that contain `FATAL`; return those that did."""
+    crashed = []
 
     def wrap(server):
         serve = getattr(server, name)
@@ -28,7 +29,7 @@
         async def fragile(request):
             if FATAL not in request.body:
                 return await serve(request)
-            ended.append(server)
+            crashed.append(server)
             end(server)
             await asyncio.Event().wait()
 
@@ -36,17 +37,17 @@
 
     for server in servers:
         wrap(server)
-    return ended
+    return crashed
 
 
-def stop_time(entry):
-    """Have no trial come due, however slow this machine is."""
-    still = ManualClock()
-    still.seconds = entry.clock.monotonic()
-    entry.dispatcher.guard.quarantine.clock = still
+def stop_quarantine_clock(entry):
+    """Stop the quarantine's clock, so that no trial becomes due on a slow machine."""
+    stopped = ManualClock()
+    stopped.seconds = entry.clock.monotonic()
+    entry.dispatcher.guard.quarantine.clock = stopped
 
 
-async def put(entry, body):
+async def send_put(entry, body):
     fetcher = Fetcher()
     try:
         target = "/w/services/shop/items/1"
@@ -55,71 +56,72 @@
         fetcher.close()
 
 
-def test_a_request_ends_three_servers_at_the_most_and_is_then_refused():
+def test_a_fatal_request_crashes_three_servers_and_is_then_refused():
     async def work(sys):
         entry = sys.entries[0]
-        stop_time(entry)
-        ended = make_fragile(sys.services, "run")
-        answer = await put(entry, FATAL)
-        assert answer.status == 504 and len(ended) == CRASH_LIMIT
-        answer = await put(entry, FATAL)
+        stop_quarantine_clock(entry)
+        crashed = make_crash_on_fatal(sys.services, "run")
+        answer = await send_put(entry, FATAL)
+        assert answer.status == 504 and len(crashed) == CRASH_LIMIT
+        answer = await send_put(entry, FATAL)
         problem = json.loads(answer.body)
         assert answer.status == 503 and problem["outcome"] == "not run"
-        assert len(ended) == CRASH_LIMIT
-        assert (await put(entry, b"sound")).status == 200
+        assert len(crashed) == CRASH_LIMIT
+        assert (await send_put(entry, b"sound")).status == 200
 
     system.run(work, engines=0, services=6)
 
 
-def test_a_server_that_breaks_an_answer_off_and_is_there_is_no_reason():
+def test_an_aborted_answer_of_a_running_server_is_not_recorded_as_crash():
     async def work(sys):
         entry = sys.entries[0]
         for service in sys.services:
             service.faults.cut = 1
-        await put(entry, b"sound")
+        await send_put(entry, b"sound")
         assert not entry.dispatcher.guard.quarantine.records
 
     system.run(work, engines=0, services=2)
 
 
-def test_a_sample_ends_three_engines_at_the_most_and_the_others_are_delivered():
+def test_a_fatal_sample_crashes_three_engines_and_the_other_groups_are_delivered():
     async def work(sys):
-        stop_time(sys.entries[0])
-        ended = make_fragile(sys.engines, "complete")
+        stop_quarantine_clock(sys.entries[0])
+        crashed = make_crash_on_fatal(sys.engines, "complete")
         async with sys.trainer() as trainer:
             prompts = {"g0": "fatal", "g1": "p 1", "g2": "p 2"}
             groups = [Group(name, p, samples=2) for name, p in prompts.items()]
             await trainer.submit(groups)
             delivery = await trainer.step(1)
         assert {sample.id.split("/")[0] for sample in delivery.samples} == {"g1", "g2"}
-        await until(lambda: len(ended) == CRASH_LIMIT)
+        await until(lambda: len(crashed) == CRASH_LIMIT)
         await asyncio.sleep(0.3)
-        assert len(ended) == CRASH_LIMIT
+        assert len(crashed) == CRASH_LIMIT
 
     system.run(work, engines=5, services=0)
 
 
-def test_a_group_under_which_engines_end_in_its_trials_too_is_set_aside():
+def test_a_group_whose_trials_crash_engines_too_is_marked_as_failed():
     async def work(sys):
         entry = sys.entries[0]
-        stop_time(entry)
+        stop_quarantine_clock(entry)
         quarantine = entry.dispatcher.guard.quarantine
-        ended = make_fragile(sys.engines, "complete")
+        crashed = make_crash_on_fatal(sys.engines, "complete")
         async with sys.trainer() as trainer:
             await trainer.submit([Group("g0", "fatal", samples=1)])
             pull = asyncio.create_task(trainer.step(1))
             for number, pause in enumerate((0, *TRIAL_DELAYS_S), CRASH_LIMIT):
-                # And the seconds that this test took, which the ends are told by.
+                # 60 s more cover the running time of the test, by which crashes are
+                # dated.
                 quarantine.clock.advance(pause and pause + 60.0)
-                await until(lambda due=number: ends(quarantine) == due)
+                await until(lambda due=number: total_crashes(quarantine) == due)
             await until(lambda: failed_groups(sys))
             pull.cancel()
-        assert len(ended) == CRASH_LIMIT + len(TRIAL_DELAYS_S)
+        assert len(crashed) == CRASH_LIMIT + len(TRIAL_DELAYS_S)
 
     system.run(work, engines=6, services=0)
 
 
-def ends(quarantine):
+def total_crashes(quarantine):
     return sum(record.crash_count for record in quarantine.records.values())
 
 
--- a/tests/test_fatal_platform.py
+++ b/tests/test_fatal_platform.py
@@ -1,4 +1,4 @@
-"""Requests under which servers end, on the users' platform, over loopback."""
+"""Requests that crash servers, on the users' platform, over loopback connections."""
 
 import base64
 import json
@@ -12,20 +12,18 @@
 from tests.system import until
 
 
-def test_a_request_under_which_workers_end_is_held_back_and_its_trace_says_why(
-    tmp_path,
-):
+def test_a_fatal_request_is_held_back_and_its_trace_lists_the_crashes(tmp_path):
     async def scenario(world):
         await world.store.put("servers", world.app.id, None)
         workers = await world.add_fragile(4)
         await until(lambda: not knows(world, world.app))
         await until(lambda: all(knows(world, worker) for worker in workers))
-        # No trial is due, however slow this machine is.
-        still = ManualClock()
-        still.seconds = world.gateway.clock.monotonic()
-        world.gateway.guard.quarantine.clock = still
+        # A stopped clock, so that no trial becomes due on a slow machine.
+        stopped = ManualClock()
+        stopped.seconds = world.gateway.clock.monotonic()
+        world.gateway.guard.quarantine.clock = stopped
         exchange, _ = await world.ask("POST", "/app/1", "f1", b"fatal", key="secret")
-        assert exchange.status == 502, "it ran, so it is not called refused"
+        assert exchange.status == 502, "it ran, so it is not reported as not run"
         await world.ask("POST", "/app/1", "f2", b"fatal", key="secret")
         exchange, _ = await world.ask("POST", "/app/1", "f3", b"fatal", key="secret")
         assert exchange.status == 503 and float(exchange.header(b"retry-after")) > 0
@@ -47,7 +45,7 @@
     assert "fatal" not in written and "secret" not in written
 
 
-def test_items_and_reward_calls_under_which_servers_end_hold_up_no_others(tmp_path):
+def test_items_and_reward_calls_that_crash_servers_delay_no_others(tmp_path):
     async def scenario(world):
         await world.store.put("servers", world.app.id, None)
         await until(lambda: not knows(world, world.app))
