--- a/gypsumshift/jobs/itemsteps.py
+++ b/gypsumshift/jobs/itemrunner.py
@@ -9,11 +9,11 @@
 from gypsumshift import logs
 from gypsumshift.clock import Clock
 from gypsumshift.eventstream import StreamBroken
-from gypsumshift.jobs.itemrun import PAUSE, ItemRun
+from gypsumshift.jobs.itemrun import RETRY_PAUSE, ItemRun
+from gypsumshift.jobs.localengine import LocalEngine
 from gypsumshift.jobs.model import Result
-from gypsumshift.jobs.rewards import RewardGate
-from gypsumshift.jobs.station import Station
-from gypsumshift.jobs.weights import WeightKeeper
+from gypsumshift.jobs.rewardlimiter import RewardLimiter
+from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import HeldBack
 from gypsumshift.platforms import RowStore
@@ -21,7 +21,7 @@
 from gypsumshift.serving.directory import BackendServer
 from gypsumshift.serving.liveness import is_gone
 
-__all__ = ["ItemSteps"]
+__all__ = ["ItemRunner"]
 
 # Longest wait of an item that is held back until it asks again, in seconds.
 HELD_PAUSE = 1.0
@@ -31,13 +31,13 @@
 log = logs.logger("units")
 
 
-class ItemSteps:
+class ItemRunner:
     """Owns the places of the engine and the gate, and takes items through them.
 
     Parameters
     ----------
-    station : Station
-    weights : WeightKeeper
+    local_engine : LocalEngine
+    weights : WeightManager
     guard : CrashGuard
     store : RowStore
         Tells the time by which items age.
@@ -54,27 +54,27 @@
 
     def __init__(
         self,
-        station: Station,
-        weights: WeightKeeper,
+        local_engine: LocalEngine,
+        weights: WeightManager,
         guard: CrashGuard,
         store: RowStore,
         clock: Clock,
         metrics: Metrics,
         changed: Callable[[], None],
     ):
-        self.station = station
+        self.local_engine = local_engine
         self.weights = weights
         self.guard = guard
         self.store = store
         self.clock = clock
         self.metrics = metrics
         self.changed = changed
-        self.rewards = RewardGate(clock, station.directory)
+        self.reward_limiter = RewardLimiter(clock, local_engine.directory)
         self.places = asyncio.Semaphore(1)
         self.place_count = 1
         self.running: list[str] = []
 
-    def set_places(self, count: int) -> None:
+    def set_slot_count(self, count: int) -> None:
         """Let so many items run at once."""
         if count != self.place_count:
             self.place_count = count
@@ -84,8 +84,8 @@
         """Have an item scored that left its place."""
         self.changed()
         while True:
-            self.rewards.fit(run.item.reward)
-            async with self.rewards.enter(score_rank(run)):
+            self.reward_limiter.fit(run.item.reward)
+            async with self.reward_limiter.enter(score_rank(run)):
                 outcome = await run.finish()
             if isinstance(outcome, HeldBack):
                 # Not in the gate: the reward calls of the other items go on.
@@ -107,12 +107,12 @@
                 continue
             # An engine that loads a model's weights refuses its requests: asking
             # ten times a second was 4 of 10 requests on a calm day.
-            await self.clock.sleep(PAUSE)
+            await self.clock.sleep(RETRY_PAUSE)
 
     async def try_once(self, run: ItemRun) -> Result | HeldBack | None:
         """Generate one item, where the engine and the guard take it now."""
-        server = self.station.server
-        if server is None or self.weights.loading == run.job.model:
+        server = self.local_engine.server
+        if server is None or self.weights.loading_model == run.job.model:
             return None
         if self.guard.quarantine.must_run_apart(run.fingerprint, self.running):
             return None
@@ -152,25 +152,28 @@
         """
         if run.expired(self.store.now().total_seconds()):
             return run.give_up(held.reason)
-        run.held = True
+        run.held_back = True
         self.changed()
         pause = min(held.retry_after.total_seconds(), HELD_PAUSE)
         try:
             await self.clock.sleep(pause)
         finally:
-            run.held = False
+            run.held_back = False
         return None
 
     async def note_broken(
         self, run: ItemRun, server: BackendServer, error: StreamBroken, permit: Permit
     ) -> None:
         """Take note of a stream that broke, and of an engine that ended; it goes on."""
-        directory, fetcher = self.station.directory, self.station.engine.fetcher
+        directory, fetcher = (
+            self.local_engine.directory,
+            self.local_engine.engine.fetcher,
+        )
         ended = error.closed and await is_gone(directory, fetcher, server)
         if ended:
             self.guard.record_crash(permit, server.start)
         if error.replaced:
-            self.station.replaced.add(server.start)
+            self.local_engine.replaced_starts.add(server.start)
         self.metrics.count("broken_streams")
         logs.event(
             log,
--- a/gypsumshift/jobs/returns.py
+++ b/gypsumshift/jobs/returns.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 
 from gypsumshift.clock import Clock
-from gypsumshift.jobs.claims import ClaimBoard
-from gypsumshift.jobs.itemrun import PAUSE
+from gypsumshift.jobs.claimtracker import ClaimTracker
+from gypsumshift.jobs.itemrun import RETRY_PAUSE
 from gypsumshift.jobs.model import CLAIMS, Claim, to_row
 from gypsumshift.jobs.partials import Partials
 from gypsumshift.jobs.unit import UnitRun
@@ -21,7 +21,7 @@
     Parameters
     ----------
     store : RowStore
-    board : ClaimBoard
+    tracker : ClaimTracker
         Told what becomes of the claims.
     partials : Partials
     clock : Clock
@@ -39,13 +39,13 @@
     def __init__(
         self,
         store: RowStore,
-        board: ClaimBoard,
+        tracker: ClaimTracker,
         partials: Partials,
         clock: Clock,
         changed: Callable[[], None],
     ):
         self.store = store
-        self.board = board
+        self.tracker = tracker
         self.partials = partials
         self.clock = clock
         self.changed = changed
@@ -79,13 +79,13 @@
         free = Write(CLAIMS, unit.key, to_row(Claim()), unit.version, part=unit.job.id)
         outcome = await self.store.commit([*writes, free])
         while not isinstance(outcome, (Committed, Conflict)):
-            await self.clock.sleep(PAUSE)
+            await self.clock.sleep(RETRY_PAUSE)
             outcome = await self.store.commit([*writes, free])
         if isinstance(outcome, Conflict):
             await self.learn(unit)
             return
         row = Row(CLAIMS, unit.key, outcome.version, free.value, unit.job.id)
-        self.board.take_claims([row])
+        self.tracker.apply_claim_rows([row])
         self.changed()
 
     async def learn(self, unit: UnitRun) -> None:
@@ -97,10 +97,10 @@
         """
         row = await self.store.read(CLAIMS, unit.key, unit.job.id)
         while isinstance(row, Unavailable) or self.is_old(row, unit):
-            await self.clock.sleep(PAUSE)
+            await self.clock.sleep(RETRY_PAUSE)
             row = await self.store.read(CLAIMS, unit.key, unit.job.id)
         if isinstance(row, Row):
-            self.board.take_claims([row])
+            self.tracker.apply_claim_rows([row])
             self.changed()
 
     def is_old(self, row: Row | Missing, unit: UnitRun) -> bool:
--- a/tests/test_fatal_items.py
+++ b/tests/test_fatal_items.py
@@ -48,8 +48,8 @@
     async def refuses(self, address, timeout):
         return not self.up
 
-    async def report(self, server):
-        return await super().report(server) if self.up else None
+    async def fetch_report(self, server):
+        return await super().fetch_report(server) if self.up else None
 
     async def stream(self, server, item, host, after, urgency):
         if not self.up:
@@ -80,7 +80,7 @@
         self.ended.set()
         await asyncio.sleep(BACK_AFTER)
         self.up, self.ended = True, asyncio.Event()
-        directory = self.world.agents[self.name].station.directory
+        directory = self.world.agents[self.name].local_engine.directory
         old = directory.servers[f"e-{self.name}"]
         directory.set_server(attrs.evolve(old, born=old.born + 1))
 
@@ -112,7 +112,7 @@
         guard = forwarder.guard = CrashGuard(self.store, self.clock, chance, jw.METRICS)
         agent = self.agent(name, engine, forwarder=forwarder, clock=self.clock)
         table = jw.routes(version=2, retention=retention)
-        agent.station.directory.set_routes(table)
+        agent.local_engine.directory.set_routes(table)
         self.begin(run_all([guard.table.watch]))
         self.begin(guard.run())
 
@@ -257,7 +257,7 @@
         assert len(done) == 7 and POISON not in done
         assert HoldsOne.sent <= CRASH_LIMIT + 10, "it asks about once a second"
         (agent,) = world.agents.values()
-        assert agent.runner.scoring == 0
+        assert agent.runner.scoring_count == 0
 
     play(scenario, names="a", forwarder=HoldsOne)
 
--- a/tests/test_late_answers.py
+++ b/tests/test_late_answers.py
@@ -56,13 +56,15 @@
         self.engine.hold.clear()
         await self.world.submit(groups=4, size=2)
         await until(lambda: len(self.engine.running) == 4)
-        await until(lambda: not self.agent.board.claiming)
+        await until(lambda: not self.agent.tracker.pending_claims)
         self.store.hold(CLAIMS)
         self.store.hold(RESULTS)
         self.engine.hold.set()
         await until(lambda: self.waiting == 8)
         self.store.answer(CLAIMS)
-        await until(lambda: not self.agent.board.claiming and not self.runner.units)
+        await until(
+            lambda: not self.agent.tracker.pending_claims and not self.runner.units
+        )
         self.store.answer(RESULTS)
 
 
@@ -154,7 +156,7 @@
         engine.stuck["job-1-0"].set()
         await until(lambda: len(committer.waiting["job"]) == 3)
         first = agent.runner.units["job", units[1].key]
-        agent.runner.hand_over(first, "the engine is slow")
+        agent.runner.hand_over_unit(first, "the engine is slow")
         await until(
             lambda: agent.runner.units.get(("job", units[1].key)) not in (None, first)
         )
--- a/tests/test_late_machine.py
+++ b/tests/test_late_machine.py
@@ -12,7 +12,7 @@
 
 from gypsumshift.jobs import Desk, Event, split
 from gypsumshift.jobs.agent import Agent
-from gypsumshift.jobs.station import Home
+from gypsumshift.jobs.localengine import AgentIdentity
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import Unavailable, Unknown
 from gypsumshift.platforms import WrappedStore
@@ -100,7 +100,7 @@
         directory.set_routes(jw.routes())
         directory.set_server(jw.server(f"e-{name}"))
         self.agents[name] = agent = Agent(
-            Home(name, jw.SERVICE, jw.ADDRESS),
+            AgentIdentity(name, jw.SERVICE, jw.ADDRESS),
             way,
             directory,
             Engine(self),
@@ -138,7 +138,7 @@
             self.start(name)
         elif agent.runner.units and self.chance.random() < 0.5:
             units = list(agent.runner.units.values())
-            agent.runner.hand_over(self.chance.choice(units), "chance")
+            agent.runner.hand_over_unit(self.chance.choice(units), "chance")
         await asyncio.sleep(self.chance.uniform(0.0, 0.5))
 
     async def play(self):
