--- a/gypsumshift/jobs/rewardlimiter.py
+++ b/gypsumshift/jobs/rewardlimiter.py
@@ -13,8 +13,8 @@
 from collections.abc import AsyncIterator
 
 from gypsumshift.clock import Clock
-from gypsumshift.jobs.model import RewardCall
 from gypsumshift.jobs.prioritysemaphore import PrioritySemaphore
+from gypsumshift.jobs.records import RewardCall
 from gypsumshift.serving.directory import Directory
 
 __all__ = ["RewardLimiter", "share_of_places"]
@@ -75,9 +75,9 @@
         route = routes.find(reward.host, reward.path) if reward else None
         if route is None:
             return
-        servers = self.directory.service(route.service_for(reward.id))
+        servers = self.directory.ready_servers(route.service_for(reward.id))
         places = sum(server.slots for server in servers)
-        self.set_share(share_of_places(places, len(self.directory.engines())))
+        self.set_share(share_of_places(places, len(self.directory.ready_engines())))
 
     def set_share(self, share: float) -> None:
         """Let so many calls be under way; see `share_of_places`."""
--- a/gypsumshift/jobs/weights.py
+++ b/gypsumshift/jobs/weights.py
@@ -8,7 +8,7 @@
 from gypsumshift.jobs.claimtracker import ClaimTracker
 from gypsumshift.jobs.engine import EngineReport, WeightLoadOrder
 from gypsumshift.jobs.localengine import LocalEngine
-from gypsumshift.jobs.model import Job
+from gypsumshift.jobs.records import Job
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import Answered
 from gypsumshift.policy import DEFAULT, Policy
@@ -83,7 +83,9 @@
         if known is None or job.step >= known.step:
             self.newest_jobs[job.model] = job
         if job.oldest_version > FIRST_VERSION:
-            newest = self.local_engine.directory.newest.get(job.model, FIRST_VERSION)
+            newest = self.local_engine.directory.newest_versions.get(
+                job.model, FIRST_VERSION
+            )
             self.slack[job.model] = max(0, newest - job.oldest_version)
 
     def placed(self) -> dict[str, tuple[str, ...]]:
@@ -173,7 +175,7 @@
         engines : list of str
             Ids of the engines that serve the model, this one among them.
         """
-        newest = self.local_engine.directory.newest.get(model, FIRST_VERSION)
+        newest = self.local_engine.directory.newest_versions.get(model, FIRST_VERSION)
         servers = self.local_engine.directory.servers
         seen, since = self.named_at.get(model, (0, 0.0))
         now = self.clock.monotonic()
--- a/gypsumshift/serving/latecrashes.py
+++ b/gypsumshift/serving/latecrashes.py
@@ -15,7 +15,7 @@
 from gypsumshift.serving.crashguard import CrashGuard, Permit
 from gypsumshift.serving.directory import BackendServer, Directory
 from gypsumshift.serving.liveness import is_gone
-from gypsumshift.serving.pool import Pool
+from gypsumshift.serving.loadbalancer import LoadBalancer
 
 __all__ = ["LateCrashDetector"]
 
@@ -35,7 +35,7 @@
     ----------
     guard : CrashGuard
         Records the detected crashes.
-    pool : Pool
+    balancer : LoadBalancer
     directory : Directory
     fetcher : Fetcher
     clock : Clock
@@ -44,13 +44,13 @@
     def __init__(
         self,
         guard: CrashGuard,
-        pool: Pool,
+        balancer: LoadBalancer,
         directory: Directory,
         fetcher: Fetcher,
         clock: Clock,
     ):
         self.guard = guard
-        self.pool = pool
+        self.balancer = balancer
         self.directory = directory
         self.fetcher = fetcher
         self.clock = clock
@@ -86,7 +86,7 @@
 
     def record_crash(self, permit: Permit, server: BackendServer) -> None:
         """Record that a server crashed under a request that was aborted there."""
-        self.pool.crashed(server)
+        self.balancer.record_gone(server)
         self.guard.record_crash(permit, server.start)
         self.guard.release_permit(permit, ran=True)
         logs.event(
--- a/tests/crash_fakes.py
+++ b/tests/crash_fakes.py
@@ -14,7 +14,7 @@
 from gypsumshift.outcomes import Unavailable, Unknown
 from gypsumshift.platforms import WrappedStore
 from gypsumshift.server import Request
-from tests.jobs_world import NAMES
+from tests.job_builders import NAMES
 
 # Network delay in each direction.
 ONE_WAY_S = 0.0015
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -23,7 +23,7 @@
     Service,
     Target,
 )
-from gypsumshift.serving.admission import Admission, Grant
+from gypsumshift.serving.authorization import Authorizer, Grant
 from gypsumshift.serving.quarantine import CRASH_LIMIT
 from gypsumshift.serving.streams import Stream
 from tests import own_time
@@ -38,7 +38,7 @@
     Worker,
     run_for,
 )
-from tests.jobs_world import HOST, METRICS, NAMES
+from tests.job_builders import HOST, METRICS, NAMES
 from tests.own_time import LoopClock
 
 # Delays from the start of a fatal request to the crash of its server, from the crash to
@@ -148,7 +148,7 @@
             self.stores[name],
             directory,
             [],
-            Admission(directory, None, METRICS),
+            Authorizer(directory, None, METRICS),
             None,
             NAMES,
             "here",
--- a/tests/test_ended.py
+++ b/tests/test_broken_connections.py
@@ -9,9 +9,9 @@
 from gypsumshift.fetch import Fetcher
 from gypsumshift.serving import BackendServer, Directory
 from gypsumshift.serving.calls import Call, Failed
-from gypsumshift.serving.pool import Pool
+from gypsumshift.serving.loadbalancer import LoadBalancer
 from gypsumshift.serving.sender import Sender
-from tests.jobs_world import HOST, METRICS, NAMES, routes
+from tests.job_builders import HOST, METRICS, NAMES, routes
 
 ANSWER = (
     b"HTTP/1.1 200 OK\r\nrequest-id: %s\r\nsignature: s\r\ncontent-length: 2\r\n\r\nok"
@@ -58,7 +58,7 @@
 def play(scenario):
     async def run():
         clock, directory, fetcher = SystemClock(), Directory(), Fetcher()
-        pool = Pool("here", clock, random.Random(1))
+        pool = LoadBalancer("here", clock, random.Random(1))
         peer = Peer()
         server = BackendServer("s", "app", await peer.listen(), "here")
         directory.set_server(server)
