--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -1,4 +1,4 @@
-"""How a step is cut and ordered, played against engines of a few places each."""
+"""Splitting and ordering of a step's items, simulated on engines with a few slots."""
 
 import heapq
 import random
@@ -13,15 +13,15 @@
 from tests.builders import ManualClock
 from tests.job_builders import MODEL, claim_row, items, job, job_row, make_tracker
 
-# Seconds for one event, and the most events of an item.
+# Seconds per event, and the largest number of events of an item.
 EVENT = 0.05
 MOST_EVENTS = 120
 ENGINES = 7
-PLACES = 8
+SLOTS = 8
 
 
-def step(seed, groups=9, size=16):
-    """Return the items of a step and their true lengths, in events."""
+def make_step(seed, groups=9, size=16):
+    """Return the items of a step and their actual lengths, in events by item id."""
     chance = random.Random(seed)
     found, lengths = [], {}
     for item in items(groups, size):
@@ -33,21 +33,22 @@
     return found, lengths
 
 
-def play(units, order, lengths):
-    """Return when each item ends, with engines that take units as they have room.
+def simulate_step(units, order, lengths):
+    """Simulate engines that claim units while they have free slots.
 
-    As in `ClaimBoard.choose`, an engine takes any of the next units.
+    As in `ClaimBoard.choose`, an engine claims a random one of the next units. Returns
+    the end time of each item.
     """
     chance = random.Random(1)
     waiting = list(order)
     by_key = {unit.key: unit for unit in units}
     queues = [[] for _ in range(ENGINES)]
-    places = [(0.0, engine) for engine in range(ENGINES) for _ in range(PLACES)]
-    heapq.heapify(places)
+    slots = [(0.0, engine) for engine in range(ENGINES) for _ in range(SLOTS)]
+    heapq.heapify(slots)
     free = [0] * ENGINES
     ends = {}
-    while places:
-        now, engine = heapq.heappop(places)
+    while slots:
+        now, engine = heapq.heappop(slots)
         free[engine] += 1
         room = free[engine] - len(queues[engine])
         fitting = [unit for unit in waiting if len(unit.items) <= room]
@@ -59,25 +60,25 @@
             item = queues[engine].pop(0)
             free[engine] -= 1
             ends[item] = now + lengths[item] * EVENT
-            heapq.heappush(places, (ends[item], engine))
+            heapq.heappush(slots, (ends[item], engine))
     assert not waiting
     return ends
 
 
-def test_a_step_takes_little_longer_than_its_longest_item():
-    """With units of 8 by their longest estimate: 1.26 times, at most 1.41."""
+def test_step_takes_little_longer_than_its_longest_item():
+    """With units of 8 items, steps took 1.26 times as long on average, at most 1.41."""
     ratios = []
     for seed in range(20):
-        found, lengths = step(seed)
+        found, lengths = make_step(seed)
         units = split_into_units(found)
-        ends = play(units, order_units(job(units), set()), lengths)
+        ends = simulate_step(units, order_units(job(units), set()), lengths)
         ratios.append(max(ends.values()) / (max(lengths.values()) * EVENT))
     assert sum(ratios) / len(ratios) < 1.02
     assert max(ratios) < 1.1
 
 
-def test_units_hold_items_of_one_group_and_about_one_length():
-    found, _ = step(1)
+def test_units_hold_items_of_one_group_sorted_by_estimate():
+    found, _ = make_step(1)
     units = split_into_units(found)
     assert sorted(i.id for u in units for i in u.items) == sorted(i.id for i in found)
     assert len({unit.key for unit in units}) == len(units)
@@ -88,11 +89,11 @@
         assert hints == sorted(hints, reverse=True)
 
 
-def test_a_job_without_items_has_no_units():
+def test_job_without_items_has_no_units():
     assert split_into_units([]) == []
 
 
-def test_groups_that_the_trainer_does_not_wait_for_come_last():
+def test_groups_that_are_not_needed_come_last():
     found = [
         Item(f"{group}-{n}", "/run/", {}, b"", group, hint)
         for group, hint in (("a", 10), ("b", 90), ("c", 20))
@@ -105,7 +106,7 @@
     assert [unit.group for unit in order] == ["b", "c", "a"]
 
 
-def test_a_group_that_came_again_counts_among_those_waited_for():
+def test_group_of_an_earlier_job_counts_as_needed_and_comes_first():
     units = split_into_units(
         [Item(g, "/run/", {}, b"", g, 10) for g in ("a", "b", "c")]
     )
@@ -113,22 +114,23 @@
     assert [unit.group for unit in order] == ["c", "a", "b"]
 
 
-# Seconds for one event at each of two engines, of 16 places, and between two looks.
+# Seconds per event at each of two engines, their slots, and the seconds in which each
+# engine tries ten times to claim a unit.
 UNEVEN = (0.038, 0.049)
-UNEVEN_PLACES = 16
-LOOK = 0.05
+UNEVEN_SLOTS = 16
+CLAIM_PERIOD = 0.05
 
 
-def play_uneven(units, lengths, aware):
-    """Return when a step ends at two engines, of which one is built slower.
+def simulate_uneven_engines(units, lengths, aware):
+    """Simulate a step on two engines of different speed; return its duration.
 
     Parameters
     ----------
     units : list of Unit
     lengths : dict
-        Events by item.
+        Number of events by item id.
     aware : bool
-        Whether the slower one knows that it is.
+        Whether the slower engine takes its speed into account when it claims units.
     """
     clock = ManualClock()
     own = make_tracker(clock=clock)
@@ -142,7 +144,7 @@
             pace = UNEVEN[engine]
             slower = [MODEL] if aware and engine else []
             running = [end for end in ends[engine] if end > clock.monotonic()]
-            room = FreeCapacity(UNEVEN_PLACES - len(running))
+            room = FreeCapacity(UNEVEN_SLOTS - len(running))
             found = own.choose_candidate([MODEL], {MODEL: 1}, room, slower)
             if found is None:
                 continue
@@ -152,18 +154,18 @@
             )
             for item in by_key[found.unit.key].items:
                 ends[engine].append(clock.monotonic() + lengths[item.id] * pace)
-        clock.advance(LOOK / 10)
+        clock.advance(CLAIM_PERIOD / 10)
     return max(ends[0] + ends[1]) - start
 
 
-def test_long_items_run_at_the_faster_of_two_engines():
-    """Where the slower one took any unit, steps took 1.2 times as long."""
+def test_long_items_run_on_the_faster_of_two_engines():
+    """When the slower engine claimed any unit, steps took 1.2 times as long."""
     plain_times, aware_times = [], []
     for seed in range(20):
-        found, lengths = step(seed, groups=9, size=4)
+        found, lengths = make_step(seed, groups=9, size=4)
         units = split_into_units(found)
         best = max(lengths.values()) * UNEVEN[0]
-        plain_times.append(play_uneven(units, lengths, aware=False) / best)
-        aware_times.append(play_uneven(units, lengths, aware=True) / best)
+        plain_times.append(simulate_uneven_engines(units, lengths, aware=False) / best)
+        aware_times.append(simulate_uneven_engines(units, lengths, aware=True) / best)
     print(statistics.mean(plain_times), statistics.mean(aware_times))
     assert statistics.mean(aware_times) < 1.06
