--- a/gypsumshift/jobs/claimtracker.py
+++ b/gypsumshift/jobs/claimtracker.py
@@ -38,7 +38,7 @@
 # Number of next units from which an agent chooses at random. A whole step arrives at
 # all agents at once: if each claimed the very next unit, all but one would lose each
 # claim.
-CANDIDATES = 6
+MAX_CANDIDATES = 6
 
 
 @attrs.frozen
@@ -271,7 +271,7 @@
             if self.is_own(open_job.claims.get(unit.key))
         ]
 
-    def version_for_waiting(self, model: str) -> int:
+    def version_for_waiting_units(self, model: str) -> int:
         """Return the oldest version that suits all waiting units of a model; -1."""
         versions = [
             open_job.job.oldest_version
@@ -322,7 +322,7 @@
                 open_job, capacity, job.model in slower_for
             ):
                 (silent if candidate.silent_claim else found).append(candidate)
-                if len(found) == CANDIDATES:
+                if len(found) == MAX_CANDIDATES:
                     return self.chance.choice(found)
             if silent and may_probe and not found:
                 return self.chance.choice(silent)
--- a/gypsumshift/jobs/heartbeatwriter.py
+++ b/gypsumshift/jobs/heartbeatwriter.py
@@ -62,8 +62,8 @@
 
     Attributes
     ----------
-    last : Heartbeat
-        The last heartbeat.
+    last_heartbeat : Heartbeat
+        The last heartbeat that was built for writing, stored or not.
     version : int
         Version of its row, as far as the store's answers name it; 0 for none.
     """
@@ -89,7 +89,7 @@
         self.clock = clock
         self.free_slots = free_slots
         self.store_writes = store_writes
-        self.last = Heartbeat("")
+        self.last_heartbeat = Heartbeat("")
         self.version = ABSENT
 
     async def run(self) -> None:
@@ -101,26 +101,28 @@
         """
         while not self.tracker.peers.table_read:
             await self.clock.sleep(READ_PERIOD)
-        self.last = self.tracker.peers.last_heartbeat(self.local_engine.identity.name)
+        self.last_heartbeat = self.tracker.peers.last_heartbeat(
+            self.local_engine.identity.name
+        )
         while True:
-            await self.write_next()
+            await self.write_heartbeat()
             agents = len(self.local_engine.directory.ready_engines())
             await self.clock.sleep(heartbeat_period(agents, self.store_writes))
 
-    async def write_next(self) -> None:
+    async def write_heartbeat(self) -> None:
         """Write a heartbeat if the row still has the last version known here."""
-        self.last = self.next_heartbeat()
+        self.last_heartbeat = self.next_heartbeat()
         # The table of agents contains a version whose answer was lost, without another
         # call of the store.
         table_version = self.tracker.peers.row_version(self.local_engine.identity.name)
         expected = max(self.version, table_version)
-        outcome = await self.commit_last(expected)
+        outcome = await self.commit_heartbeat(expected)
         if isinstance(outcome, Conflict):
             await self.resolve_conflict(expected)
 
-    async def commit_last(self, expected: int | None) -> Written:
+    async def commit_heartbeat(self, expected: int | None) -> Written:
         """Write the last heartbeat if its row has a version; None for any version."""
-        name, value = self.local_engine.identity.name, to_row(self.last)
+        name, value = self.local_engine.identity.name, to_row(self.last_heartbeat)
         write = Write(AGENTS, name, value, expected, part=heartbeat_part(name))
         outcome = await self.store.commit([write])
         if isinstance(outcome, Committed):
@@ -143,11 +145,11 @@
         name = self.local_engine.identity.name
         row = await self.store.read(AGENTS, name, heartbeat_part(name))
         if not isinstance(row, Row) or row.version <= refused:
-            await self.commit_last(None)
+            await self.commit_heartbeat(None)
         elif row.value.get("session") == self.session:
             self.note_written(row.version)
         else:
-            await self.commit_last(row.version)
+            await self.commit_heartbeat(row.version)
 
     def note_written(self, version: int) -> None:
         """Record a stored heartbeat; the version of the first one is the fence."""
@@ -167,9 +169,13 @@
         the last heartbeat are kept.
         """
         server = self.local_engine.server
-        start = server.start if server else self.last.server_start
-        known = self.last_for_start(start)
-        beat = self.last.beat + 1 if self.last.session == self.session else 1
+        start = server.start if server else self.last_heartbeat.server_start
+        known = self.last_heartbeat_for(start)
+        beat = (
+            self.last_heartbeat.beat + 1
+            if self.last_heartbeat.session == self.session
+            else 1
+        )
         return Heartbeat(
             session=self.session,
             beat=beat,
@@ -185,16 +191,20 @@
         """Return the engine's usual pace, by default that of the last heartbeat."""
         server = self.local_engine.server
         return self.usual(
-            self.last_for_start(server.start) if server else Heartbeat("")
+            self.last_heartbeat_for(server.start) if server else Heartbeat("")
         )
 
     def usual(self, known: Heartbeat) -> float:
         """Return the measured usual pace, or else that of a heartbeat."""
         return self.pace.usual() or known.usual
 
-    def last_for_start(self, start: ServerStart) -> Heartbeat:
+    def last_heartbeat_for(self, start: ServerStart) -> Heartbeat:
         """Return the last heartbeat if it is about this start; else an empty one."""
-        return self.last if start == self.last.server_start else Heartbeat("")
+        return (
+            self.last_heartbeat
+            if start == self.last_heartbeat.server_start
+            else Heartbeat("")
+        )
 
 
 def heartbeat_period(agents: int, store_writes: float) -> float:
--- a/gypsumshift/jobs/itemrunner.py
+++ b/gypsumshift/jobs/itemrunner.py
@@ -177,7 +177,7 @@
         """
         directory, fetcher = (
             self.local_engine.directory,
-            self.local_engine.engine.fetcher,
+            self.local_engine.client.fetcher,
         )
         ended = error.closed and await is_gone(directory, fetcher, server)
         if ended:
--- a/gypsumshift/jobs/localengine.py
+++ b/gypsumshift/jobs/localengine.py
@@ -42,7 +42,7 @@
     ----------
     identity : AgentIdentity
     directory : Directory
-    engine : EngineClient
+    client : EngineClient
     clock : Clock
 
     Attributes
@@ -61,12 +61,12 @@
         self,
         identity: AgentIdentity,
         directory: Directory,
-        engine: EngineClient,
+        client: EngineClient,
         clock: Clock,
     ):
         self.identity = identity
         self.directory = directory
-        self.engine = engine
+        self.client = client
         self.clock = clock
         self.report: EngineReport | None = None
         self.reported_at = float("-inf")
@@ -129,7 +129,7 @@
     async def fetch_report(self) -> EngineReport | None:
         """Request a report from the engine; None where it sends none."""
         server = self.server
-        report = await self.engine.fetch_report(server) if server else None
+        report = await self.client.fetch_report(server) if server else None
         if report is None or not self.is_current(report, self.server):
             return None
         self.reported_start = self.server.start
--- a/gypsumshift/jobs/unitrunner.py
+++ b/gypsumshift/jobs/unitrunner.py
@@ -214,7 +214,7 @@
         run = ItemRun(
             unit.job,
             item,
-            self.local_engine.engine,
+            self.local_engine.client,
             self.forwarder,
             self.local_engine.directory,
             self.names,
--- a/gypsumshift/jobs/weights.py
+++ b/gypsumshift/jobs/weights.py
@@ -201,7 +201,7 @@
             model=model,
             loaded=report.versions.get(model, 0),
             newest=newest,
-            needed=self.tracker.version_for_waiting(model),
+            needed=self.tracker.version_for_waiting_units(model),
             max_lag=max_lag,
             versions=tuple(servers[e].models.get(model, 0) for e in engines),
             position=engines.index(self.local_engine.server.id),
@@ -217,7 +217,7 @@
             choice.model, choice.version, holder, self.fence, report.orders
         )
         self.ordered_at = self.clock.monotonic()
-        answer = await self.local_engine.engine.send_order(server, order)
+        answer = await self.local_engine.client.send_order(server, order)
         status = answer.status if isinstance(answer, Answered) else 0
         self.metrics.count("orders", status=str(status))
         self.loading_model = choice.model if status in ACCEPTED_STATUSES else ""
--- a/tests/job_builders.py
+++ b/tests/job_builders.py
@@ -271,7 +271,7 @@
         name="a",
         engine=None,
         store=None,
-        presence=NO_PROBE,
+        liveness=NO_PROBE,
         forwarder=None,
         clock=None,
     ):
@@ -290,7 +290,7 @@
             clock or SystemClock(),
             chance,
             METRICS,
-            liveness=presence,
+            liveness=liveness,
         )
         self.agents[name] = agent
         self.tasks.append(asyncio.create_task(agent.run()))
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -131,7 +131,7 @@
         lambda: (
             agent.tracker.open_jobs
             and not agent.runner.units
-            and agent.heartbeat_writer.last.beat
+            and agent.heartbeat_writer.last_heartbeat.beat
         )
     )
     await asyncio.sleep(0)
@@ -286,8 +286,8 @@
     told = {key: row.value[key] for key in ("engine", "home", "usual")}
     assert told == {"engine": "e-a", "home": MODEL, "usual": 0.05}
     agent.local_engine.directory.set_server(server("e-new"))
-    await until(lambda: agent.heartbeat_writer.last.engine == "e-new")
-    assert agent.heartbeat_writer.last.usual == 0, (
+    await until(lambda: agent.heartbeat_writer.last_heartbeat.engine == "e-new")
+    assert agent.heartbeat_writer.last_heartbeat.usual == 0, (
         "the usual pace of another start does not apply"
     )
 
@@ -300,7 +300,7 @@
     directory.set_server(attrs.evolve(server("e-a"), born=1))
     await until(lambda: agent.weights.fence)
     agent.peers.apply_rows([Row(AGENTS, "a", 9, value)])
-    agent.heartbeat_writer.last = agent.peers.last_heartbeat("a")
+    agent.heartbeat_writer.last_heartbeat = agent.peers.last_heartbeat("a")
     assert agent.heartbeat_writer.usual_pace() == 0.05
     directory.set_server(attrs.evolve(server("e-a"), born=2))
     assert agent.heartbeat_writer.usual_pace() == 0
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -131,7 +131,7 @@
         (unit,) = await world.submit(groups=1, size=2)
         claim = to_row(Claim("b", "other"))
         await world.store.commit([Write(CLAIMS, unit.key, claim, part="job")])
-        agent = world.agent(engine=engine, presence=probe)
+        agent = world.agent(engine=engine, liveness=probe)
         await wait_until(lambda: probe.answered)
         await run_loop_turns()
         assert not engine.started, "the unit of a working agent must not be taken over"
@@ -240,7 +240,7 @@
         (unit,) = await world.submit("old", groups=1, size=2)
         claim = to_row(Claim("b", "other"))
         await world.store.commit([Write(CLAIMS, unit.key, claim, part="old")])
-        agent = world.agent(engine=engine, presence=probe)
+        agent = world.agent(engine=engine, liveness=probe)
         await wait_until(lambda: probe.asked)
         await world.submit("new", groups=2, size=2)
         await wait_until(lambda: agent.runner.slots_used == 4)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -38,7 +38,7 @@
 
 async def start_beside_silent_holder(world, probe):
     """Start an agent while another one without heartbeats holds the only unit."""
-    agent = world.agent("a", presence=probe)
+    agent = world.agent("a", liveness=probe)
     units = await world.submit(groups=1)
     claim = Claim("silent", "s")
     row = await world.store.read(CLAIMS, units[0].key, "job")
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -29,7 +29,7 @@
 
 
 async def slower_agent(world):
-    """Start an agent with two long running items; return it and all units."""
+    """Start an agent that runs items, two of them long; return it and all units."""
     engine = FakeEngine(length=400)
     engine.gap = 0.03
     agent = world.agent("slow", engine)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -117,7 +117,7 @@
             self.clock,
             lambda: 0,
         )
-        writer.last = tracker.peers.last_heartbeat(AGENT)
+        writer.last_heartbeat = tracker.peers.last_heartbeat(AGENT)
         return writer
 
     def deliver(self):
@@ -133,23 +133,23 @@
     async def write_late(self, writer):
         """Write a heartbeat that the store carries out only later."""
         self.store.delaying = True
-        await writer.write_next()
+        await writer.write_heartbeat()
         self.store.delaying = False
 
     async def write_unanswered(self, writer):
         """Write a heartbeat that is stored, with its answer lost."""
         self.store.losing = True
-        await writer.write_next()
+        await writer.write_heartbeat()
         self.store.losing = False
 
 
 @scenario
 async def test_a_late_heartbeat_of_an_ended_process_does_not_replace_newer_ones(fleet):
     old = fleet.start("old")
-    await old.write_next()
+    await old.write_heartbeat()
     await fleet.write_late(old)
     new = fleet.start("new")
-    await new.write_next()
+    await new.write_heartbeat()
     fleet.deliver()
     claimed_at = fleet.clock.monotonic()
     fleet.clock.advance(HEARTBEAT_PERIOD / 2)
@@ -174,7 +174,7 @@
     first = fleet.start("first")
     await fleet.write_late(first)
     second = fleet.start("second")
-    await second.write_next()
+    await second.write_heartbeat()
     await fleet.store.carry_out()
     assert fleet.row() == ("second", 1)
 
@@ -183,7 +183,7 @@
 async def test_a_late_heartbeat_does_not_count_as_a_sign_of_life(fleet):
     writer = fleet.start("s")
     await fleet.write_late(writer)
-    await writer.write_next()
+    await writer.write_heartbeat()
     fleet.deliver()
     fleet.clock.advance(HEARTBEAT_TIMEOUT + 0.1)
     await fleet.store.carry_out()
@@ -197,11 +197,11 @@
 async def test_the_first_heartbeat_is_stored_even_if_the_row_changed_meanwhile(fleet):
     """Without a fence, an engine gets no orders; the next heartbeat may be 5 s away."""
     old = fleet.start("old")
-    await old.write_next()
+    await old.write_heartbeat()
     await fleet.write_late(old)
     new = fleet.start("new")
     await fleet.store.carry_out()
-    await new.write_next()
+    await new.write_heartbeat()
     assert fleet.row() == ("new", 1)
     assert new.weights.fence == fleet.store.version
 
@@ -209,13 +209,13 @@
 @scenario
 async def test_heartbeats_continue_after_a_lost_answer(fleet):
     writer = fleet.start("s")
-    await writer.write_next()
+    await writer.write_heartbeat()
     fence = writer.weights.fence
     for _ in range(5):
         await fleet.write_unanswered(writer)
-        await writer.write_next()
-        await writer.write_next()
-        assert fleet.row() == ("s", writer.last.beat)
+        await writer.write_heartbeat()
+        await writer.write_heartbeat()
+        assert fleet.row() == ("s", writer.last_heartbeat.beat)
     assert writer.weights.fence == fence, (
         "the fence does not change after the first heartbeat"
     )
@@ -226,7 +226,7 @@
     writer = fleet.start("s")
     await fleet.write_unanswered(writer)
     assert not writer.weights.fence
-    await writer.write_next()
+    await writer.write_heartbeat()
     assert 0 < writer.weights.fence <= fleet.store.version
 
 
@@ -236,8 +236,8 @@
     writer = fleet.start("s")
     await fleet.write_unanswered(writer)
     fleet.store.unreadable = True
-    await writer.write_next()
-    assert fleet.row() == ("s", writer.last.beat)
+    await writer.write_heartbeat()
+    assert fleet.row() == ("s", writer.last_heartbeat.beat)
     assert writer.weights.fence
 
 
@@ -245,7 +245,7 @@
 async def test_heartbeats_continue_if_reads_return_an_old_copy(fleet):
     """The store may serve reads from an old copy while it accepts writes."""
     writer = fleet.start("s")
-    await writer.write_next()
+    await writer.write_heartbeat()
     copy = await fleet.store.read(AGENTS, AGENT, heartbeat_part(AGENT))
     await fleet.write_unanswered(writer)
 
@@ -253,8 +253,8 @@
         return copy
 
     fleet.store.read = read_old
-    await writer.write_next()
-    assert fleet.row() == ("s", writer.last.beat)
+    await writer.write_heartbeat()
+    assert fleet.row() == ("s", writer.last_heartbeat.beat)
 
 
 @scenario
@@ -262,7 +262,7 @@
     """The heartbeats of 1,600 agents already take a tenth of the store's writes."""
     writer = fleet.start("s")
     for _ in range(10):
-        await writer.write_next()
+        await writer.write_heartbeat()
     assert fleet.store.calls == ["commit"] * 10
 
 
@@ -286,14 +286,14 @@
     comparing its version with the known one.
     """
     writer = fleet.start("s")
-    await writer.write_next()
+    await writer.write_heartbeat()
     fleet.deliver()
     fleet.clock.advance(HEARTBEAT_TIMEOUT + 0.1)
     claim = Claim(AGENT, "s")
     assert fleet.reader.holder_state(claim, 0.0) is HolderState.SILENT
     fleet.reader.apply_rows(list(fleet.store.rows.values()))
     assert fleet.reader.holder_state(claim, 0.0) is HolderState.SILENT
-    await writer.write_next()
+    await writer.write_heartbeat()
     fleet.deliver()
     assert fleet.reader.holder_state(claim, 0.0) is HolderState.WORKS
 
@@ -302,10 +302,10 @@
 async def test_an_older_row_of_an_agent_is_ignored(fleet):
     """A table read once for several processes may arrive after newer changes."""
     old = fleet.start("old")
-    await old.write_next()
+    await old.write_heartbeat()
     before = list(fleet.store.rows.values())
     new = fleet.start("new")
-    await new.write_next()
+    await new.write_heartbeat()
     fleet.deliver()
     fleet.reader.apply_rows(before)
     assert fleet.reader.last_heartbeat(AGENT).session == "new"
--- a/tests/test_schedule.py
+++ b/tests/test_schedule.py
@@ -7,7 +7,7 @@
 import attrs
 
 from gypsumshift.jobs.capacity import FreeCapacity
-from gypsumshift.jobs.claimtracker import CANDIDATES
+from gypsumshift.jobs.claimtracker import MAX_CANDIDATES
 from gypsumshift.jobs.records import Item
 from gypsumshift.jobs.schedule import MAX_UNIT_ITEMS, order_units, split_into_units
 from tests.builders import ManualClock
@@ -53,7 +53,7 @@
         room = free[engine] - len(queues[engine])
         fitting = [unit for unit in waiting if len(unit.items) <= room]
         if fitting:
-            taken = chance.choice(fitting[:CANDIDATES])
+            taken = chance.choice(fitting[:MAX_CANDIDATES])
             waiting.remove(taken)
             queues[engine] += [item.id for item in by_key[taken.key].items]
         while free[engine] and queues[engine]:
