--- a/gypsumshift/jobs/jobmanager.py
+++ b/gypsumshift/jobs/jobmanager.py
@@ -330,17 +330,17 @@
         wait : float
             Longest time to wait for the first result, in seconds.
         """
-        known = job_id in self.jobs
+        was_cached = job_id in self.jobs
         job = await self.find_job(job_id)
         if not isinstance(job, Job):
             return job
         results = self.result_log(job_id)
-        if known and after == len(results) < job.item_count and wait > 0:
+        if was_cached and after == len(results) < job.item_count and wait > 0:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait):
                     await results.changed.wait()
         if after >= len(results) and len(results) < job.item_count:
-            outcome = await self.refresh_results(job_id, after, known)
+            outcome = await self.refresh_results(job_id, after, was_cached)
             if isinstance(outcome, Unavailable):
                 return outcome
         page = results.page(after, MAX_PAGE_TEXT_CHARS)
@@ -369,14 +369,14 @@
         return "".join(str(row.value.get("text", "")) for row in text_rows)
 
     async def refresh_results(
-        self, job_id: str, after: int, known: bool
+        self, job_id: str, after: int, was_cached: bool
     ) -> Unavailable | None:
         """Read a job's results from the store if the local copy may be stale."""
         results = self.result_log(job_id)
         stale = (
             self.clock.monotonic() - self.result_watch.current_at > MAX_COPY_AGE_SECONDS
         )
-        if known and after == len(results) and not stale:
+        if was_cached and after == len(results) and not stale:
             return None
         rows = await self.store.scan(RESULTS, "", job_id)
         if isinstance(rows, Unavailable):
--- a/gypsumshift/jobs/schedule.py
+++ b/gypsumshift/jobs/schedule.py
@@ -14,10 +14,10 @@
 
 __all__ = [
     "DuplicateItemIdError",
-    "order_units",
+    "item_urgency",
     "long_units",
+    "order_units",
     "split_into_units",
-    "item_urgency",
 ]
 
 # Items of a group that are claimed together and started at the same time. They share a
--- a/tests/job_builders.py
+++ b/tests/job_builders.py
@@ -243,7 +243,7 @@
 
 
 class ScriptedLivenessProbe(LivenessProbe):
-    """Presence with a fixed set of working agents; records the agents checked."""
+    """Probe with a fixed set of live agents; records the agents that were checked."""
 
     def __init__(self, *working):
         self.working = set(working)
--- a/tests/test_jobmanager.py
+++ b/tests/test_jobmanager.py
@@ -101,7 +101,7 @@
 
 def unit_bodies(store):
     """Count the stored units by the body of their first item."""
-    rows = [row for place, row in store.rows.items() if place[0] == UNITS]
+    rows = [row for row_id, row in store.rows.items() if row_id[0] == UNITS]
     units = [unit for _, unit in parse_rows(rows, Unit)]
     return collections.Counter(unit.items[0].body for unit in units)
 
@@ -257,18 +257,26 @@
 
 
 class DelayedReadTables(MemoryTables):
-    """Tables whose reads are carried out at once and answered when released."""
+    """Tables whose reads are carried out at once and answered when released.
+
+    Attributes
+    ----------
+    delayed : dict
+        Event that answers to reads wait for, by table.
+    read_started : asyncio.Event
+        Set when a delayed read has been carried out.
+    """
 
     def __init__(self):
         super().__init__()
-        self.held = {}
-        self.asked = asyncio.Event()
+        self.delayed = {}
+        self.read_started = asyncio.Event()
 
     async def read(self, table, key, part=""):
         row = await super().read(table, key, part)
-        if table in self.held:
-            self.asked.set()
-            await self.held[table].wait()
+        if table in self.delayed:
+            self.read_started.set()
+            await self.delayed[table].wait()
         return row
 
 
@@ -286,14 +294,14 @@
             units = split_into_units(items(step=name))
             deadline = self.clock.monotonic() + 2
             await self.other.submit_job(job(units, name), units, deadline)
-        answered = self.store.held[JOBS] = asyncio.Event()
+        answered = self.store.delayed[JOBS] = asyncio.Event()
         calling = asyncio.create_task(call)
         async with asyncio.timeout(5):
-            await self.store.asked.wait()
+            await self.store.read_started.wait()
         await self.other.remove_job("job")
         removed = Row(JOBS, JOB_KEY, self.store.version, None, "job")
         self.manager.apply_job_rows([removed])
-        del self.store.held[JOBS]
+        del self.store.delayed[JOBS]
         answered.set()
         return await calling
 
--- a/tests/test_late_answers.py
+++ b/tests/test_late_answers.py
@@ -118,8 +118,8 @@
             result = Result("i", ResultState.WHOLE, text, (1,), "score")
             writer.enqueue(PendingResult("job", "unit", result))
         await writer.drain()
-        for places in store.transactions:
-            assert len(places) == len(set(places)), "a transaction writes a row twice"
+        for row_ids in store.transactions:
+            assert len(row_ids) == len(set(row_ids)), "a transaction writes a row twice"
         row = await store.read(RESULTS, "i", "job")
         assert row.value["size"] == len("one"), "the first result was replaced"
 
@@ -140,7 +140,10 @@
             result = Result(item, ResultState.WHOLE, "text", (1,), "score")
             writer.enqueue(PendingResult("job", "unit", result, done))
         await writer.drain()
-        assert {place[2] for place in store.rows if place[0] == RESULTS} == {"i", "j"}
+        assert {row_id[2] for row_id in store.rows if row_id[0] == RESULTS} == {
+            "i",
+            "j",
+        }
 
     run_scenario(scenario)
 
