--- a/bench/forwarder.py
+++ b/bench/forwarder.py
@@ -7,9 +7,9 @@
 import contextlib
 import sys
 
-from gypsumshift.exchange import passed_on
-from gypsumshift.fetch import Fetcher
-from gypsumshift.server import Request, Response, Server
+from gypsumshift.backendrequest import end_to_end_headers
+from gypsumshift.httpclient import Fetcher
+from gypsumshift.httpserver import HttpServer, Request, Response
 
 HOST = "127.0.0.1"
 
@@ -19,18 +19,20 @@
     fetcher = Fetcher()
 
     async def forward(request: Request) -> Response:
-        headers = passed_on((k.encode(), v.encode()) for k, v in request.headers)
+        headers = end_to_end_headers(
+            (k.encode(), v.encode()) for k, v in request.headers
+        )
         exchange = await fetcher.open(
             (HOST, backend), request.method, request.path, headers, request.body
         )
         with contextlib.closing(exchange):
             body = await exchange.read()
-            fields = passed_on(exchange.headers)
+            fields = end_to_end_headers(exchange.headers)
             return Response(
                 exchange.status, [(k.decode(), v.decode()) for k, v in fields], body
             )
 
-    await Server(forward).listen(HOST, port)
+    await HttpServer(forward).listen(HOST, port)
     await asyncio.Event().wait()
 
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -114,7 +114,7 @@
             await asyncio.wait(set(calls))
         result.seconds = loop.time() - begin
         for client in self.clients:
-            client.fetcher.close()
+            client.fetcher.close_idle()
         return result
 
     async def call(self, result: Result, due: float) -> None:
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -9,7 +9,7 @@
 
 from bench.report import Row
 from bench.scenes import scene, service_source, trainer_source
-from gypsumshift.fetch import Fetcher
+from gypsumshift.httpclient import Fetcher
 from standins.deployment import HOST, free_port
 
 __all__ = ["overhead"]
@@ -43,7 +43,7 @@
             histogram.record_value(int((time.monotonic() - began) * 1e6))
 
     await asyncio.gather(*(caller() for _ in range(callers)))
-    fetcher.close()
+    fetcher.close_idle()
     return histogram
 
 
@@ -61,7 +61,7 @@
                 histogram.record_value(max(1, int((now - last) * 1e6)))
             last = now
         exchange.close()
-    fetcher.close()
+    fetcher.close_idle()
     return histogram
 
 
--- a/gypsumshift/agentnode.py
+++ b/gypsumshift/agentnode.py
@@ -65,8 +65,8 @@
         super().__init__(
             directory, watches, LoadBalancer(zone, clock, chance, policy), clock
         )
-        directory.on_restart.append(lambda old: fetcher.cut(old.address))
-        self.balancer.has_idle_connection = fetcher.connected
+        directory.on_restart.append(lambda old: fetcher.close_connections(old.address))
+        self.balancer.has_idle_connection = fetcher.has_idle_connection
         sender = Sender(directory, self.balancer, fetcher, names, clock, metrics)
         forwarder = Forwarder(sender, self.guard, policy)
         engine = EngineClient(fetcher, names, protocol)
--- a/gypsumshift/backend.py
+++ b/gypsumshift/backend.py
@@ -4,8 +4,8 @@
 from gypsumshift.clock import Clock
 from gypsumshift.dialects import DIALECTS, Dialect, State
 from gypsumshift.events import Recorder
-from gypsumshift.fetch import Fetcher, FetchError
 from gypsumshift.generated.declarations import Pool
+from gypsumshift.httpclient import Fetcher, FetchError
 from gypsumshift.outcomes import Committed, Conflict, Missing, Unavailable
 from gypsumshift.platforms import ABSENT, Tables, Write
 
--- a/gypsumshift/exchange.py
+++ b/gypsumshift/backendrequest.py
@@ -5,14 +5,20 @@
 import attrs
 
 from gypsumshift.dialects import Dialect
-from gypsumshift.fetch import Exchange, Fetcher, FetchError
 from gypsumshift.generated.messages import Head, Header, Span, Start
+from gypsumshift.httpclient import Exchange, Fetcher, FetchError
 from gypsumshift.labels import Labeller
 
-__all__ = ["Reply", "StreamReader", "forward", "passed_on", "versions"]
+__all__ = [
+    "BackendResponse",
+    "StreamVersionReader",
+    "send_to_backend",
+    "end_to_end_headers",
+    "distinct_versions",
+]
 
-EVENT_LIMIT = 1024 * 1024
-HOP_HEADERS = {
+MAX_EVENT_BYTES = 1024 * 1024
+HOP_BY_HOP_HEADERS = {
     b"connection",
     b"content-length",
     b"host",
@@ -27,13 +33,17 @@
 }
 
 
-def passed_on(headers) -> list[tuple[bytes, bytes]]:
+def end_to_end_headers(headers) -> list[tuple[bytes, bytes]]:
     """Return the header fields that are passed on from one connection to another."""
-    return [(name, value) for name, value in headers if name.lower() not in HOP_HEADERS]
+    return [
+        (name, value)
+        for name, value in headers
+        if name.lower() not in HOP_BY_HOP_HEADERS
+    ]
 
 
 @attrs.define
-class StreamReader:
+class StreamVersionReader:
     """Reads the events of a stream to label its tokens.
 
     Attributes
@@ -46,18 +56,18 @@
 
     dialect: Dialect
     labeller: Labeller
-    rest: bytes = b""
+    incomplete: bytes = b""
 
     def feed(self, data: bytes) -> None:
         """Take some bytes of the stream."""
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        if len(self.rest) > EVENT_LIMIT:
-            raise FetchError(f"an event exceeds {EVENT_LIMIT} bytes", True)
+        *lines, self.incomplete = (self.incomplete + data).split(b"\n")
+        if len(self.incomplete) > MAX_EVENT_BYTES:
+            raise FetchError(f"an event exceeds {MAX_EVENT_BYTES} bytes", True)
         for line in lines:
             if line.startswith(b"data:"):
-                self.take(line[5:].strip())
+                self.add_event(line[5:].strip())
 
-    def take(self, data: bytes) -> None:
+    def add_event(self, data: bytes) -> None:
         """Take the data of one event."""
         if data == b"[DONE]":
             return
@@ -69,7 +79,7 @@
         self.labeller.add(piece.tokens, piece.version)
 
     @property
-    def needs_after(self) -> bool:
+    def needs_final_version(self) -> bool:
         """Whether the version after the stream must be asked for."""
         return self.labeller.bare
 
@@ -79,7 +89,7 @@
 
 
 @attrs.define
-class WholeReader:
+class BodyVersionReader:
     """Finds the weight versions that a whole answer may come from.
 
     Attributes
@@ -93,11 +103,11 @@
     dialect: Dialect
     before: int | None
     body: bytes = b""
-    needs_after = False
+    needs_final_version = False
 
     def feed(self, data: bytes) -> None:
         """Take some bytes of the answer."""
-        if len(self.body) <= EVENT_LIMIT:
+        if len(self.body) <= MAX_EVENT_BYTES:
             self.body += data
 
     def spans(self, after: int | None) -> list[Span]:
@@ -114,7 +124,7 @@
 
 
 @attrs.define
-class Reply:
+class BackendResponse:
     """An answer under way from the backend server.
 
     Attributes
@@ -127,12 +137,12 @@
 
     exchange: Exchange
     head: Head
-    reader: "StreamReader | WholeReader"
+    reader: "StreamVersionReader | BodyVersionReader"
 
     @property
     def streams(self) -> bool:
         """Whether the answer is a stream of events."""
-        return isinstance(self.reader, StreamReader)
+        return isinstance(self.reader, StreamVersionReader)
 
     async def chunks(self):
         """Yield the body as it comes, and label it on the way."""
@@ -141,13 +151,13 @@
             yield data
 
 
-async def forward(
+async def send_to_backend(
     fetcher: Fetcher,
     address: tuple[str, int],
     start: Start,
     dialect: Dialect,
     before: int | None,
-) -> Reply:
+) -> BackendResponse:
     """Send a request to the backend server and read the head of its answer.
 
     Parameters
@@ -164,7 +174,9 @@
     FetchError
         ``sent`` tells whether the request may have run.
     """
-    headers = passed_on((header.name, header.value) for header in start.headers)
+    headers = end_to_end_headers(
+        (header.name, header.value) for header in start.headers
+    )
     exchange = await fetcher.open(
         address,
         start.method,
@@ -173,18 +185,18 @@
         start.body,
         fresh=not start.repeatable,
     )
-    fields = passed_on(exchange.headers)
+    fields = end_to_end_headers(exchange.headers)
     head = Head(exchange.status, [Header(name, value) for name, value in fields])
-    reader = WholeReader(dialect, before)
+    reader = BodyVersionReader(dialect, before)
     if (
         dict(exchange.headers)
         .get(b"content-type", b"")
         .startswith(b"text/event-stream")
     ):
-        reader = StreamReader(dialect, Labeller(before))
-    return Reply(exchange, head, reader)
+        reader = StreamVersionReader(dialect, Labeller(before))
+    return BackendResponse(exchange, head, reader)
 
 
-def versions(spans: list[Span]) -> list[int]:
+def distinct_versions(spans: list[Span]) -> list[int]:
     """Return the weight versions of some spans, in order, each once."""
     return list(dict.fromkeys(span.version for span in spans))
--- a/gypsumshift/bearer.py
+++ b/gypsumshift/bearer.py
@@ -1,6 +1,6 @@
 """Bearer: what a request proves its right with (RFC 6750)."""
 
-from gypsumshift.server import Request, Response, problem
+from gypsumshift.httpserver import Request, Response, problem_response
 from gypsumshift.workspaces import Workspaces, key_digest
 
 __all__ = ["bearer", "has_key", "unauthorized"]
@@ -21,6 +21,6 @@
 
 def unauthorized(detail: str) -> Response:
     """Return the answer to a request whose token is missing or wrong."""
-    response = problem(401, "not run", detail)
+    response = problem_response(401, "not run", detail)
     response.headers.append(("www-authenticate", "Bearer"))
     return response
--- a/gypsumshift/bootstrap.py
+++ b/gypsumshift/bootstrap.py
@@ -13,20 +13,20 @@
 
 from gypsumshift import logs
 from gypsumshift.clock import Clock
-from gypsumshift.fetch import FetchError
+from gypsumshift.httpclient import FetchError
+from gypsumshift.httpserver import Request, Response, json_response
 from gypsumshift.neighbours import Neighbour, StorePath
 from gypsumshift.platforms import Changes, Row
-from gypsumshift.server import Request, Response, json_response
 from gypsumshift.watch import Watch
 
-__all__ = ["KNOWN", "Bootstrap"]
+__all__ = ["KNOWN_TABLES_PATH", "Bootstrap"]
 
 # Target by which a process is asked what it knows of the kept tables.
-KNOWN = "/neighbour/known"
+KNOWN_TABLES_PATH = "/neighbour/known"
 # Seconds before neighbours are asked for the first time, in which the store usually
 # answers, and between two times.
-ASK_PERIOD = 0.3
-ASK_TIMEOUT = 0.5
+ASK_PERIOD_S = 0.3
+ASK_TIMEOUT_S = 0.5
 
 log = logs.logger("bootstrap")
 
@@ -51,27 +51,29 @@
     async def serve(self, request: Request) -> Response:
         """Answer a neighbour that asks what is known here."""
         known = {
-            w.table: attrs.asdict(w.known()) for w in self.watches if w.version >= 0
+            w.table: attrs.asdict(w.kept_table())
+            for w in self.watches
+            if w.version >= 0
         }
         return json_response(200, known)
 
     async def run(self) -> None:
         """Learn until everything is known, from the store or from neighbours."""
         while True:
-            await self.clock.sleep(ASK_PERIOD)
+            await self.clock.sleep(ASK_PERIOD_S)
             if all(watch.version >= 0 for watch in self.watches):
                 return
             if self.path.failures:
-                await self.learn()
+                await self.load_from_neighbours()
 
-    async def learn(self) -> None:
+    async def load_from_neighbours(self) -> None:
         """Ask some neighbours, and take the newest that they know of each table."""
-        asked = self.path.candidates()
-        answers = await asyncio.gather(*map(self.ask, asked))
+        asked = self.path.choose_neighbours()
+        answers = await asyncio.gather(*map(self.request_tables, asked))
         for watch in self.watches:
             known = [answer[watch.table] for answer in answers if watch.table in answer]
             newest = max(known, key=lambda changes: changes.version, default=None)
-            if newest is not None and watch.learn(newest):
+            if newest is not None and watch.load_copy(newest):
                 logs.event(
                     log,
                     "Learnt from a neighbour.",
@@ -81,19 +83,19 @@
                     asked=len(asked),
                 )
 
-    async def ask(self, neighbour: Neighbour) -> dict[str, Changes]:
+    async def request_tables(self, neighbour: Neighbour) -> dict[str, Changes]:
         """Ask one neighbour; nothing where it does not answer."""
         try:
             answer = await self.path.fetcher.fetch(
-                neighbour.address, "GET", KNOWN, timeout=ASK_TIMEOUT
+                neighbour.address, "GET", KNOWN_TABLES_PATH, timeout=ASK_TIMEOUT_S
             )
-            return decode(answer.body) if answer.status == 200 else {}
+            return decode_tables(answer.body) if answer.status == 200 else {}
         except (FetchError, AttributeError, KeyError, TypeError, ValueError) as error:
             log.debug("{} does not tell what it knows: {}", neighbour.name, error)
             return {}
 
 
-def decode(body: bytes) -> dict[str, Changes]:
+def decode_tables(body: bytes) -> dict[str, Changes]:
     """Return what a neighbour knows, by table; raises for a foreign answer."""
     return {
         table: Changes([Row(**row) for row in known["rows"]], known["version"])
--- a/gypsumshift/callers.py
+++ b/gypsumshift/callers.py
@@ -9,11 +9,11 @@
 from gypsumshift.dispatch import Dispatcher, Job
 from gypsumshift.generated.declarations import Parameters
 from gypsumshift.generated.messages import RequestClass
+from gypsumshift.httpserver import Request, Response, ResponseAborted, problem_response
 from gypsumshift.keys import KeyOwner, Mismatch, Replayed
 from gypsumshift.links import LinkError
 from gypsumshift.outcomes import NotRun, Unknown
 from gypsumshift.process import Process
-from gypsumshift.server import Abandon, Request, Response, problem
 
 __all__ = ["Callers"]
 
@@ -84,7 +84,7 @@
             return job
         if self.waiting.get(workspace, 0) >= parameters.waiting:
             detail = f"{parameters.waiting} requests of {workspace} wait here already"
-            return problem(429, "not run", detail, retry_after=1.0)
+            return problem_response(429, "not run", detail, retry_after=1.0)
         self.waiting[workspace] = self.waiting.get(workspace, 0) + 1
         began = self.clock.monotonic()
         outcome = "cancelled"
@@ -113,18 +113,20 @@
             if pool is None:
                 known = ", ".join(parameters.services) or "none"
                 detail = f"{workspace} has no service {service!r}; it has: {known}"
-                return problem(404, "not run", detail)
+                return problem_response(404, "not run", detail)
             repeatable = self.may_repeat(request, path, parameters)
         elif rest in MODEL_PATHS and parameters.model_pool:
             if request.method != "POST":
-                return problem(405, "not run", f"{rest} takes POST")
+                return problem_response(405, "not run", f"{rest} takes POST")
             pool, path = parameters.model_pool, rest
             repeatable = request.header(UNREPEATABLE_HEADER) != "?1"
         else:
-            return problem(404, "not run", f"{workspace} has nothing at {rest}")
+            return problem_response(
+                404, "not run", f"{workspace} has nothing at {rest}"
+            )
         if len(request.header(KEY_HEADER)) > KEY_LIMIT:
             detail = f"the Idempotency-Key exceeds {KEY_LIMIT} characters"
-            return problem(400, "not run", detail)
+            return problem_response(400, "not run", detail)
         target = f"{path}?{request.query}" if request.query else path
         found = URGENCY.search(request.header("priority"))
         urgency = int(found[1]) if found else DEFAULT_URGENCY
@@ -167,15 +169,15 @@
             result = await self.dispatcher.send(job)
         if isinstance(result, Mismatch):
             detail = "this Idempotency-Key came before with another request"
-            return problem(422, "not run", detail), "mismatch"
+            return problem_response(422, "not run", detail), "mismatch"
         if isinstance(result, NotRun):
             seconds = result.retry_after / datetime.timedelta(seconds=1)
             detail = result.reason
             members = {"retry_after": seconds, "attempts": job.attempts}
-            return problem(503, "not run", detail, **members), "not run"
+            return problem_response(503, "not run", detail, **members), "not run"
         if isinstance(result, Unknown):
             members = {"attempts": job.attempts}
-            return problem(504, "unknown", result.reason, **members), "unknown"
+            return problem_response(504, "unknown", result.reason, **members), "unknown"
         if isinstance(result, Replayed):
             response = self.whole(result.whole, job)
             response.headers.append(("idempotency-replayed", "true"))
@@ -212,7 +214,7 @@
             async for data in streamed.chunks:
                 yield data
         except LinkError as error:
-            raise Abandon(str(error)) from error
+            raise ResponseAborted(str(error)) from error
         finally:
             await streamed.chunks.aclose()
 
--- a/gypsumshift/client.py
+++ b/gypsumshift/client.py
@@ -10,8 +10,8 @@
 import attrs
 import cattrs
 
-from gypsumshift.fetch import Fetched, Fetcher, FetchError
 from gypsumshift.groups import Group, Sample
+from gypsumshift.httpclient import FetchedResponse, Fetcher, FetchError
 from gypsumshift.outcomes import Answered, NotRun, Outcome, Unknown
 
 __all__ = [
@@ -94,7 +94,7 @@
         return self
 
     async def __aexit__(self, *exc_info):
-        self.fetcher.close()
+        self.fetcher.close_idle()
 
     def next_address(self) -> tuple[str, int]:
         """Return the address of the entry to use now."""
@@ -187,7 +187,7 @@
     return json.dumps(body).encode(), [JSON_TYPE]
 
 
-def outcome_of(answer: Fetched) -> Outcome:
+def outcome_of(answer: FetchedResponse) -> Outcome:
     """Return the outcome that an entry's answer says."""
     headers = tuple((k.decode(), v.decode("latin-1")) for k, v in answer.headers)
     answered = Answered(answer.status, headers, answer.body)
--- a/gypsumshift/crashgossip.py
+++ b/gypsumshift/crashgossip.py
@@ -14,9 +14,9 @@
 
 from gypsumshift import logs
 from gypsumshift.clock import Clock
-from gypsumshift.fetch import FetchError
+from gypsumshift.httpclient import FetchError
+from gypsumshift.httpserver import Request, Response, json_response
 from gypsumshift.neighbours import Neighbour, StorePath
-from gypsumshift.server import Request, Response, json_response
 from gypsumshift.serving.crashtable import CrashTable
 from gypsumshift.serving.directory import ServerStart
 from gypsumshift.serving.quarantine import Crash
--- a/gypsumshift/dispatch.py
+++ b/gypsumshift/dispatch.py
@@ -8,8 +8,8 @@
 
 from gypsumshift.answers import Answer, Lost, Refusal, Streamed, Whole
 from gypsumshift.attempts import new_attempt
+from gypsumshift.backendrequest import end_to_end_headers
 from gypsumshift.budgets import RetryBudget
-from gypsumshift.exchange import passed_on
 from gypsumshift.generated.messages import (
     AttemptState,
     Bar,
@@ -289,7 +289,7 @@
     def start(self, job: Job, known: Known, attempt: str) -> Start:
         """Return the order that starts an attempt."""
         remaining = job.deadline - self.clock.monotonic()
-        fields = passed_on(
+        fields = end_to_end_headers(
             (name.encode("latin-1"), value.encode("latin-1"))
             for name, value in job.headers
         )
--- a/gypsumshift/entry.py
+++ b/gypsumshift/entry.py
@@ -6,10 +6,10 @@
 from gypsumshift.dispatch import Dispatcher
 from gypsumshift.generated.messages import Role
 from gypsumshift.generation import Generator
+from gypsumshift.httpserver import HttpServer, Request, Response, problem_response
 from gypsumshift.members import rank
 from gypsumshift.operators import Operators
 from gypsumshift.process import Process
-from gypsumshift.server import Request, Response, Server, problem
 from gypsumshift.trainers import Trainers
 
 __all__ = ["Entry"]
@@ -38,7 +38,7 @@
         self.generator = Generator(self, self.dispatcher)
         self.trainers = Trainers(self, self.generator)
         self.operator_face = Operators(self)
-        self.front = Server(self.serve_caller)
+        self.front = HttpServer(self.serve_caller)
         self.front_address = ("", 0)
 
     async def start(self) -> None:
@@ -110,10 +110,12 @@
             return self.health()
         if not self.in_force.ready:
             detail = "this entry has no revision yet"
-            return problem(503, "not run", detail, retry_after=1.0)
+            return problem_response(503, "not run", detail, retry_after=1.0)
         workspace, slash, rest = request.path.lstrip("/").partition("/")
         if workspace not in self.in_force.catalog.workspaces:
-            return problem(404, "not run", f"there is no workspace {workspace!r}")
+            return problem_response(
+                404, "not run", f"there is no workspace {workspace!r}"
+            )
         if not has_key(request, workspace, self.in_force.catalog.keys):
             return unauthorized(f"{workspace} takes requests with one of its keys")
         if rest.startswith("trainers/"):
--- a/gypsumshift/eventstream.py
+++ b/gypsumshift/eventstream.py
@@ -3,9 +3,9 @@
 import asyncio
 from collections.abc import AsyncIterator
 
-from gypsumshift.fetch import Exchange, FetchError
+from gypsumshift.httpclient import Exchange, FetchError
 
-__all__ = ["StreamBroken", "blocks", "field_of"]
+__all__ = ["StreamBroken", "iter_events", "event_field"]
 
 
 class StreamBroken(Exception):
@@ -35,12 +35,12 @@
         self.refused = refused
 
     @classmethod
-    def of(cls, error: FetchError) -> "StreamBroken":
+    def from_fetch_error(cls, error: FetchError) -> "StreamBroken":
         """Return that a stream broke with its connection."""
         return cls(str(error), False, error.sent, error.closed, error.refused)
 
 
-async def blocks(exchange: Exchange, silence: float) -> AsyncIterator[bytes]:
+async def iter_events(exchange: Exchange, silence: float) -> AsyncIterator[bytes]:
     """Yield the bytes of each whole event, without the empty line behind it.
 
     Parameters
@@ -61,7 +61,7 @@
             async with asyncio.timeout(silence):
                 data = await anext(chunks, None)
         except FetchError as error:
-            raise StreamBroken.of(error) from error
+            raise StreamBroken.from_fetch_error(error) from error
         except TimeoutError as error:
             raise StreamBroken("no event in time") from error
         if data is None:
@@ -74,7 +74,7 @@
         raise StreamBroken("the stream ended inside an event", closed=True)
 
 
-def field_of(block: bytes, name: str) -> str:
+def event_field(block: bytes, name: str) -> str:
     """Return the first field of that name in an event; ``""`` where it has none."""
     for line in block.decode("utf-8", "replace").split("\n"):
         key, _, value = line.partition(":")
--- a/gypsumshift/face.py
+++ b/gypsumshift/face.py
@@ -8,7 +8,7 @@
 import attrs
 import typer
 
-from gypsumshift.fetch import Fetched, Fetcher, FetchError
+from gypsumshift.httpclient import FetchedResponse, Fetcher, FetchError
 
 __all__ = [
     "DEFAULT_OPERATOR",
@@ -45,7 +45,9 @@
     url: str = DEFAULT_OPERATOR
     token: str = ""
 
-    def ask(self, method: str, target: str, value=None, body: bytes = b"") -> Fetched:
+    def ask(
+        self, method: str, target: str, value=None, body: bytes = b""
+    ) -> FetchedResponse:
         """Send one request; ends the command where nobody answers."""
         parts = urllib.parse.urlsplit(self.url)
         address = (parts.hostname, parts.port or 80)
@@ -75,7 +77,7 @@
     raise typer.Exit(status)
 
 
-def refuse(answer: Fetched):
+def refuse(answer: FetchedResponse):
     """End the command as a problem document says."""
     try:
         value = json.loads(answer.body)
--- a/gypsumshift/gateway.py
+++ b/gypsumshift/gateway.py
@@ -81,8 +81,8 @@
         super().__init__(
             directory, watches, LoadBalancer(zone, clock, chance, policy), clock
         )
-        directory.on_restart.append(lambda old: fetcher.cut(old.address))
-        self.balancer.has_idle_connection = fetcher.connected
+        directory.on_restart.append(lambda old: fetcher.close_connections(old.address))
+        self.balancer.has_idle_connection = fetcher.has_idle_connection
         usage = accounting.counter if accounting else None
         sender = Sender(directory, self.balancer, fetcher, names, clock, metrics, usage)
         self.forwarder = Forwarder(sender, self.guard, policy)
@@ -103,7 +103,7 @@
         """Put the limit of the configuration in force, and forget what is gone."""
         await super().sweep()
         for port in self.ports:
-            port.server.body_limit = self.directory.routes.body_limit or BODY_LIMIT
+            port.server.max_body_bytes = self.directory.routes.body_limit or BODY_LIMIT
         self.guard.sweep()
         await self.job_manager.remove_expired_jobs(self.chance)
 
@@ -119,7 +119,7 @@
         accounting = asyncio.create_task(self.leave_accounting())
         leaving = [port.server for port in self.ports if not port.always]
         for server in leaving:
-            server.leaving = True
+            server.draining = True
         # Idle connections end with their next answer; two questions of the
         # balancer, a second apart, take new ones elsewhere.
         await self.clock.sleep(grace / 2)
--- a/gypsumshift/gossip.py
+++ b/gypsumshift/gossip.py
@@ -12,9 +12,9 @@
 
 from gypsumshift import logs
 from gypsumshift.clock import Clock
-from gypsumshift.fetch import FetchError
+from gypsumshift.httpclient import FetchError
+from gypsumshift.httpserver import Request, Response, json_response
 from gypsumshift.neighbours import Neighbour, StorePath
-from gypsumshift.server import Request, Response, json_response
 from gypsumshift.serving.directory import Directory
 from gypsumshift.serving.loadbalancer import LoadBalancer
 from gypsumshift.serving.observations import decode, encode
--- a/gypsumshift/hedging.py
+++ b/gypsumshift/hedging.py
@@ -16,15 +16,15 @@
 from gypsumshift.platforms import RowStore, WrappedStore, Write
 from gypsumshift.policy import DEFAULT, Policy
 
-__all__ = ["AnswerTime", "HedgedStore"]
+__all__ = ["AverageAnswerTime", "HedgedStore"]
 
 # Copies of one write at the most: of three, one in ten finds no answer where half of
 # them are lost.
-COPIES = 3
+MAX_COPIES = 3
 # Seconds after which a copy is sent, at the least and at the most. A transaction takes
 # 5 to 10 ms; with less, a host that is busy for a moment would send twice.
-WAIT_LEAST = 0.15
-WAIT_MOST = 1.0
+MIN_HEDGE_DELAY_S = 0.15
+MAX_HEDGE_DELAY_S = 1.0
 # A copy is sent once an answer takes so many times the usual time: a store that is slow
 # for all answers nothing sooner when it is asked twice.
 SLOW_FACTOR = 4.0
@@ -35,20 +35,22 @@
 log = logs.logger("hedging")
 
 
-class AnswerTime:
+class AverageAnswerTime:
     """Usual time of the store's answers to writes, in seconds."""
 
     def __init__(self):
-        self.usual = 0.0
+        self.average = 0.0
 
-    def note(self, took: float) -> None:
+    def record(self, took: float) -> None:
         """Take the seconds that an answer took."""
-        self.usual = self.usual or took
-        self.usual += NEWEST_WEIGHT * (took - self.usual)
+        self.average = self.average or took
+        self.average += NEWEST_WEIGHT * (took - self.average)
 
-    def patience(self) -> float:
+    def hedge_delay(self) -> float:
         """Return the seconds after which a write is sent once more."""
-        return min(max(SLOW_FACTOR * self.usual, WAIT_LEAST), WAIT_MOST)
+        return min(
+            max(SLOW_FACTOR * self.average, MIN_HEDGE_DELAY_S), MAX_HEDGE_DELAY_S
+        )
 
 
 class HedgedStore(WrappedStore):
@@ -70,11 +72,11 @@
         clock: Clock,
         policy: Policy = DEFAULT,
     ):
-        self.copies = COPIES if policy.hedged_writes else 1
+        self.max_copies = MAX_COPIES if policy.hedged_writes else 1
         super().__init__(inner)
         self.path = path
         self.clock = clock
-        self.answers = AnswerTime()
+        self.answer_time = AverageAnswerTime()
 
     async def commit(self, writes: list[Write]) -> Written:
         """Apply all writes, or none where a condition does not hold.
@@ -84,20 +86,22 @@
         """
         copies: set[asyncio.Task] = set()
         try:
-            return await self.race(writes, copies)
+            return await self.race_copies(writes, copies)
         finally:
             for copy in copies:
                 copy.cancel()
 
-    async def race(self, writes: list[Write], copies: set[asyncio.Task]) -> Written:
+    async def race_copies(
+        self, writes: list[Write], copies: set[asyncio.Task]
+    ) -> Written:
         """Return the first outcome that is certain; an uncertain one if none is."""
         ended: list[Written] = []
         sent = 0
         while True:
-            if sent < self.copies and (not sent or self.may_repeat(ended)):
-                copies.add(asyncio.create_task(self.send(writes)))
+            if sent < self.max_copies and (not sent or self.may_send_copy(ended)):
+                copies.add(asyncio.create_task(self.send_copy(writes)))
                 sent += 1
-            waits = self.answers.patience() if sent < self.copies else None
+            waits = self.answer_time.hedge_delay() if sent < self.max_copies else None
             done, _ = await asyncio.wait(
                 copies, timeout=waits, return_when=asyncio.FIRST_COMPLETED
             )
@@ -107,21 +111,21 @@
                 if isinstance(outcome, (Committed, Conflict)):
                     return outcome
             if not copies:
-                return self.uncertain(ended)
+                return self.uncertain_outcome(ended)
 
-    def may_repeat(self, ended: list[Written]) -> bool:
+    def may_send_copy(self, ended: list[Written]) -> bool:
         """Tell whether one more copy may find an answer."""
         return not ended and self.path.reaches_store
 
-    async def send(self, writes: list[Write]) -> Written:
+    async def send_copy(self, writes: list[Write]) -> Written:
         """Send one copy."""
         started = self.clock.monotonic()
         outcome = await self.inner.commit(writes)
         if isinstance(outcome, (Committed, Conflict)):
-            self.answers.note(self.clock.monotonic() - started)
+            self.answer_time.record(self.clock.monotonic() - started)
         return outcome
 
-    def uncertain(self, ended: list[Written]) -> Unavailable | Unknown:
+    def uncertain_outcome(self, ended: list[Written]) -> Unavailable | Unknown:
         """Return what may be said of a write of which no copy was answered."""
         unknown = [outcome for outcome in ended if isinstance(outcome, Unknown)]
         return unknown[0] if unknown else ended[0]
--- a/gypsumshift/wire.py
+++ b/gypsumshift/httpconnection.py
@@ -5,13 +5,13 @@
 
 import h11
 
-__all__ = ["Exchange", "FetchError", "Wire", "Withheld"]
+__all__ = ["Exchange", "FetchError", "ClientConnection", "RequestWithheld"]
 
-READ_SIZE = 64 * 1024
+READ_SIZE_BYTES = 64 * 1024
 # Socket option: what was not sent yet is dropped with the connection, and the other
 # side is told so by a reset.
-DROP_UNSENT = struct.pack("ii", 1, 0)
-BODY_LIMIT = 64 * 1024 * 1024
+LINGER_RESET = struct.pack("ii", 1, 0)
+MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 class FetchError(Exception):
@@ -48,32 +48,32 @@
         self.refused = refused
 
 
-class Withheld(FetchError):
+class RequestWithheld(FetchError):
     """A request was not sent, since it may not be any more."""
 
     def __init__(self):
         super().__init__("the request may not be sent any more", False)
 
 
-class Wire:
+class ClientConnection:
     """One connection with its HTTP state."""
 
-    def __init__(self, reader, writer, resets: bool = False):
+    def __init__(self, reader, writer, reset_on_close: bool = False):
         self.reader = reader
         self.writer = writer
-        if resets:
+        if reset_on_close:
             wire = writer.get_extra_info("socket")
-            wire.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, DROP_UNSENT)
+            wire.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.state = h11.Connection(h11.CLIENT)
         self.idle_until = 0.0
         self.repeatable = True
 
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Tell whether another exchange may follow on this connection."""
         done = self.state.our_state is h11.DONE and self.state.their_state is h11.DONE
-        return done and not self.state.trailing_data[0] and self.untouched()
+        return done and not self.state.trailing_data[0] and self.has_nothing_unread()
 
-    def untouched(self) -> bool:
+    def has_nothing_unread(self) -> bool:
         """Tell whether nothing has come since the last exchange, no end either."""
         buffered = getattr(self.reader, "_buffer", b"")
         return not buffered and not self.reader.at_eof()
@@ -93,13 +93,13 @@
     wire : Wire
     """
 
-    def __init__(self, fetcher, address, wire):
+    def __init__(self, fetcher, address, connection):
         self.fetcher = fetcher
         self.address = address
-        self.wire = wire
+        self.connection = connection
         self.status = 0
         self.headers: list[tuple[bytes, bytes]] = []
-        self.whole = False
+        self.complete = False
         self.reused = False
 
     def header(self, name: bytes) -> str:
@@ -107,16 +107,16 @@
         values = (v for k, v in self.headers if k == name)
         return next(values, b"").decode("latin-1")
 
-    async def event(self):
+    async def next_event(self):
         """Return the next event of the answer."""
         data = None
         try:
             while True:
-                event = self.wire.state.next_event()
+                event = self.connection.state.next_event()
                 if event is not h11.NEED_DATA:
                     return event
-                data = await self.wire.reader.read(READ_SIZE)
-                self.wire.state.receive_data(data)
+                data = await self.connection.reader.read(READ_SIZE_BYTES)
+                self.connection.state.receive_data(data)
         except h11.RemoteProtocolError as error:
             reason = f"the answer broke: {error}"
             raise FetchError(reason, True, closed=data == b"") from error
@@ -126,9 +126,9 @@
 
     async def read_head(self) -> None:
         """Read up to the answer's header fields."""
-        event = await self.event()
+        event = await self.next_event()
         while isinstance(event, h11.InformationalResponse):
-            event = await self.event()
+            event = await self.next_event()
         if not isinstance(event, h11.Response):
             reason = "the connection closed before the answer"
             raise FetchError(reason, True, closed=True)
@@ -138,9 +138,9 @@
     async def chunks(self):
         """Yield the body as it comes; an unfinished body raises `FetchError`."""
         while True:
-            event = await self.event()
+            event = await self.next_event()
             if isinstance(event, h11.EndOfMessage):
-                self.whole = True
+                self.complete = True
                 return
             if not isinstance(event, h11.Data):
                 reason = "the answer ended before its end"
@@ -152,8 +152,8 @@
         parts = bytearray()
         async for data in self.chunks():
             parts += data
-            if len(parts) > BODY_LIMIT:
-                raise FetchError(f"the answer exceeds {BODY_LIMIT} bytes", True)
+            if len(parts) > MAX_BODY_BYTES:
+                raise FetchError(f"the answer exceeds {MAX_BODY_BYTES} bytes", True)
         return bytes(parts)
 
     def close(self) -> None:
--- a/gypsumshift/server.py
+++ b/gypsumshift/httpserver.py
@@ -11,20 +11,27 @@
 from gypsumshift import logs
 from gypsumshift.listeners import close_listener
 
-__all__ = ["Abandon", "Request", "Response", "Server", "json_response", "problem"]
-
-HEADER_LIMIT = 32 * 1024
-BODY_LIMIT = 8 * 1024 * 1024
-READ_SIZE = 64 * 1024
-PIPELINE_LIMIT = 256 * 1024
-HEADER_TIMEOUT = 15.0
-IDLE_TIMEOUT = 75.0
-CONNECTION_LIMIT = 20_000
+__all__ = [
+    "ResponseAborted",
+    "Request",
+    "Response",
+    "HttpServer",
+    "json_response",
+    "problem_response",
+]
+
+MAX_HEADER_BYTES = 32 * 1024
+MAX_BODY_BYTES = 8 * 1024 * 1024
+READ_SIZE_BYTES = 64 * 1024
+MAX_PIPELINED_BYTES = 256 * 1024
+READ_TIMEOUT_S = 15.0
+IDLE_TIMEOUT_S = 75.0
+MAX_CONNECTIONS = 20_000
 
 log = logs.logger("http")
 
 
-class Abandon(Exception):
+class ResponseAborted(Exception):
     """Raised by a body in the making: the answer cannot be completed."""
 
 
@@ -94,7 +101,7 @@
     return Response(status, [("content-type", "application/json")], body)
 
 
-def problem(status: int, outcome: str, detail: str, **members) -> Response:
+def problem_response(status: int, outcome: str, detail: str, **members) -> Response:
     """Return a problem document (RFC 9457).
 
     Parameters
@@ -117,7 +124,7 @@
     return Response(status, headers, json.dumps(value).encode() + b"\n")
 
 
-class Server:
+class HttpServer:
     """HTTP server that owns its listening socket and connections.
 
     Parameters
@@ -133,11 +140,11 @@
         Whether answers ask callers to take another connection.
     """
 
-    def __init__(self, handler: Handler, body_limit: int = BODY_LIMIT):
+    def __init__(self, handler: Handler, max_body_bytes: int = MAX_BODY_BYTES):
         self.handler = handler
-        self.body_limit = body_limit
-        self.leaving = False
-        self.connections: dict[asyncio.Task, Connection] = {}
+        self.max_body_bytes = max_body_bytes
+        self.draining = False
+        self.connections: dict[asyncio.Task, ServerConnection] = {}
         self.listener: asyncio.Server | None = None
         self.closing = False
 
@@ -150,17 +157,17 @@
 
     def accept(self, reader, writer) -> None:
         """Serve a connection in a task of its own."""
-        if self.closing or len(self.connections) >= CONNECTION_LIMIT:
+        if self.closing or len(self.connections) >= MAX_CONNECTIONS:
             writer.close()
             return
-        connection = Connection(self, reader, writer)
-        task = asyncio.create_task(self.serve(connection))
+        connection = ServerConnection(self, reader, writer)
+        task = asyncio.create_task(self.serve_connection(connection))
         self.connections[task] = connection
         task.add_done_callback(self.connections.pop)
         # A task that is cancelled before it began never gets to its own end.
         task.add_done_callback(lambda _: writer.close())
 
-    async def serve(self, connection: "Connection") -> None:
+    async def serve_connection(self, connection: "ServerConnection") -> None:
         """Serve one connection until it ends."""
         try:
             await connection.run()
@@ -183,7 +190,7 @@
             task.cancel()
 
 
-class Connection:
+class ServerConnection:
     """One connection of a server; handles one request after another.
 
     Parameters
@@ -197,53 +204,55 @@
         self.server = server
         self.reader = reader
         self.writer = writer
-        self.wire = h11.Connection(h11.SERVER, max_incomplete_event_size=HEADER_LIMIT)
-        self.reading: asyncio.Task | None = None
+        self.state = h11.Connection(
+            h11.SERVER, max_incomplete_event_size=MAX_HEADER_BYTES
+        )
+        self.pending_read: asyncio.Task | None = None
         self.busy = False
 
     async def run(self) -> None:
         """Serve requests until either side closes."""
         try:
-            while await self.exchange():
-                if self.wire.our_state is h11.MUST_CLOSE or self.server.closing:
+            while await self.serve_request():
+                if self.state.our_state is h11.MUST_CLOSE or self.server.closing:
                     break
-                self.wire.start_next_cycle()
+                self.state.start_next_cycle()
         except h11.RemoteProtocolError as error:
-            await self.refuse(error.error_status_hint or 400, str(error))
+            await self.send_error(error.error_status_hint or 400, str(error))
         finally:
-            if self.reading:
-                self.reading.cancel()
+            if self.pending_read:
+                self.pending_read.cancel()
 
-    async def exchange(self) -> bool:
+    async def serve_request(self) -> bool:
         """Serve one request; return whether another may follow."""
         self.busy = False
         request = await self.read_request()
         if request is None:
             return False
-        response = await self.answer(request)
+        response = await self.run_handler(request)
         if response is None:
             return False
-        if not await self.send(response, request.method):
+        if not await self.send_response(response, request.method):
             return False
-        return self.wire.our_state in (h11.DONE, h11.MUST_CLOSE)
+        return self.state.our_state in (h11.DONE, h11.MUST_CLOSE)
 
     async def read_request(self) -> Request | None:
         """Read a request whole; None where the connection ended instead."""
-        head = await self.next_event(IDLE_TIMEOUT)
+        head = await self.next_event(IDLE_TIMEOUT_S)
         if not isinstance(head, h11.Request):
             return None
         self.busy = True
         body = bytearray()
         while True:
-            event = await self.next_event(HEADER_TIMEOUT)
+            event = await self.next_event(READ_TIMEOUT_S)
             if isinstance(event, h11.EndOfMessage):
                 break
             if not isinstance(event, h11.Data):
                 return None
             body += event.data
-            if len(body) > self.server.body_limit:
-                limit = self.server.body_limit
-                await self.refuse(413, f"the body exceeds {limit} bytes")
+            if len(body) > self.server.max_body_bytes:
+                limit = self.server.max_body_bytes
+                await self.send_error(413, f"the body exceeds {limit} bytes")
                 return None
         target = head.target.decode("ascii", "replace")
         path, _, query = target.partition("?")
@@ -252,58 +261,68 @@
 
     async def next_event(self, timeout: float):
         """Return the next event of the peer; reads as needed."""
-        event = self.wire.next_event()
+        event = self.state.next_event()
         if event is not h11.NEED_DATA:
             return event
         async with asyncio.timeout(timeout):
             while event is h11.NEED_DATA:
-                if self.wire.they_are_waiting_for_100_continue:
+                if self.state.they_are_waiting_for_100_continue:
                     go_on = h11.InformationalResponse(status_code=100, headers=[])
-                    self.writer.write(self.wire.send(go_on))
-                self.wire.receive_data(await self.read())
-                event = self.wire.next_event()
+                    self.writer.write(self.state.send(go_on))
+                self.state.receive_data(await self.read())
+                event = self.state.next_event()
         return event
 
     async def read(self) -> bytes:
         """Read some bytes, through the read that may be pending already."""
-        if self.reading is None:
-            self.reading = asyncio.ensure_future(self.reader.read(READ_SIZE))
-        data = await asyncio.shield(self.reading)
-        self.reading = None
+        if self.pending_read is None:
+            self.pending_read = asyncio.ensure_future(self.reader.read(READ_SIZE_BYTES))
+        data = await asyncio.shield(self.pending_read)
+        self.pending_read = None
         return data
 
-    async def answer(self, request: Request) -> Response | None:
+    async def run_handler(self, request: Request) -> Response | None:
         """Run the handler; None where the caller went away meanwhile."""
         handling = asyncio.ensure_future(self.server.handler(request))
         buffered = 0
         try:
             while not handling.done():
-                if self.reading is None and buffered < PIPELINE_LIMIT:
-                    self.reading = asyncio.ensure_future(self.reader.read(READ_SIZE))
-                waiting = {handling} | ({self.reading} if self.reading else set())
+                if self.pending_read is None and buffered < MAX_PIPELINED_BYTES:
+                    self.pending_read = asyncio.ensure_future(
+                        self.reader.read(READ_SIZE_BYTES)
+                    )
+                waiting = {handling} | (
+                    {self.pending_read} if self.pending_read else set()
+                )
                 await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
-                if self.reading and self.reading.done() and not handling.done():
-                    data = self.reading.result()
-                    self.reading = None
+                if (
+                    self.pending_read
+                    and self.pending_read.done()
+                    and not handling.done()
+                ):
+                    data = self.pending_read.result()
+                    self.pending_read = None
                     if not data:
                         return None
                     buffered += len(data)
-                    self.wire.receive_data(data)
-            return self.result(handling)
+                    self.state.receive_data(data)
+            return self.handler_result(handling)
         finally:
             if not handling.done():
                 handling.cancel()
                 await asyncio.wait({handling})
 
-    def result(self, handling: asyncio.Future) -> Response:
+    def handler_result(self, handling: asyncio.Future) -> Response:
         """Return what a handler returned; an error of its own ends one request only."""
         try:
             return handling.result()
         except Exception as error:
             log.exception("A handler failed: {!r}.", error)
-            return problem(500, "unknown", "an error inside this process; see its log")
+            return problem_response(
+                500, "unknown", "an error inside this process; see its log"
+            )
 
-    async def send(self, response: Response, method: str) -> bool:
+    async def send_response(self, response: Response, method: str) -> bool:
         """Send an answer; return whether it is whole."""
         headers = list(response.headers)
         streamed = not isinstance(response.body, bytes)
@@ -311,14 +330,14 @@
             headers.append(("transfer-encoding", "chunked"))
         elif not any(key == "content-length" for key, _ in headers):
             headers.append(("content-length", str(len(response.body))))
-        if self.server.closing or self.server.leaving:
+        if self.server.closing or self.server.draining:
             headers.append(("connection", "close"))
         head = h11.Response(status_code=response.status, headers=headers)
-        self.writer.write(self.wire.send(head))
+        self.writer.write(self.state.send(head))
         if not streamed:
             if response.body and method != "HEAD":
-                self.writer.write(self.wire.send(h11.Data(response.body)))
-            self.writer.write(self.wire.send(h11.EndOfMessage()))
+                self.writer.write(self.state.send(h11.Data(response.body)))
+            self.writer.write(self.state.send(h11.EndOfMessage()))
             await self.writer.drain()
             return True
         return await self.send_stream(response)
@@ -328,27 +347,27 @@
         try:
             async for data in response.body:
                 if data:
-                    self.writer.write(self.wire.send(h11.Data(data)))
+                    self.writer.write(self.state.send(h11.Data(data)))
                     await self.writer.drain()
-        except Abandon as reason:
+        except ResponseAborted as reason:
             log.info("Cut a streamed answer: {}.", reason)
             return False
         finally:
             await response.body.aclose()
         end = h11.EndOfMessage(headers=response.trailers())
-        self.writer.write(self.wire.send(end))
+        self.writer.write(self.state.send(end))
         await self.writer.drain()
         return True
 
-    async def refuse(self, status: int, detail: str) -> None:
+    async def send_error(self, status: int, detail: str) -> None:
         """Answer a request that cannot be read, and close."""
-        if self.wire.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
+        if self.state.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        response = problem(status, "not run", detail)
+        response = problem_response(status, "not run", detail)
         headers = [*response.headers, ("connection", "close")]
         headers.append(("content-length", str(len(response.body))))
         head = h11.Response(status_code=status, headers=headers)
-        self.writer.write(self.wire.send(head))
-        self.writer.write(self.wire.send(h11.Data(response.body)))
-        self.writer.write(self.wire.send(h11.EndOfMessage()))
+        self.writer.write(self.state.send(head))
+        self.writer.write(self.state.send(h11.Data(response.body)))
+        self.writer.write(self.state.send(h11.EndOfMessage()))
         await self.writer.drain()
--- a/gypsumshift/jobs/agent.py
+++ b/gypsumshift/jobs/agent.py
@@ -36,7 +36,7 @@
 from gypsumshift.serving.forwarder import Forwarder
 from gypsumshift.serving.headers import HeaderNames
 from gypsumshift.serving.routes import EngineLimits
-from gypsumshift.watch import Watch, run_all
+from gypsumshift.watch import Watch, run_watches
 
 __all__ = ["Agent"]
 
@@ -175,7 +175,7 @@
             peers.apply_rows,
             clock,
             peers.note_store_recovered,
-            gather=PEERS_GATHER,
+            batch_interval=PEERS_GATHER,
         )
         self.watches = [
             Watch(store, JOBS, self.apply_job_rows, self.apply_job_rows, clock),
@@ -228,7 +228,7 @@
     async def run(self) -> None:
         """Run all tasks of this agent until cancelled."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(run_all(self.watches))
+            group.create_task(run_watches(self.watches))
             group.create_task(self.heartbeat_writer.run())
             group.create_task(self.run_engine_loop())
             for event in self.wake_events:
--- a/gypsumshift/jobs/engine.py
+++ b/gypsumshift/jobs/engine.py
@@ -11,8 +11,8 @@
 
 import attrs
 
-from gypsumshift.eventstream import StreamBroken, blocks
-from gypsumshift.fetch import Exchange, Fetcher, FetchError
+from gypsumshift.eventstream import StreamBroken, iter_events
+from gypsumshift.httpclient import Exchange, Fetcher, FetchError
 from gypsumshift.jobs.records import Item, Job
 from gypsumshift.outcomes import Answered, NotRun, Unknown
 from gypsumshift.serving.directory import BackendServer
@@ -192,7 +192,7 @@
                     connect_timeout=CONNECT_TIMEOUT,
                 )
         except FetchError as error:
-            raise StreamBroken.of(error) from error
+            raise StreamBroken.from_fetch_error(error) from error
         except TimeoutError as error:
             raise StreamBroken(
                 f"no response from server {server.id} within {SILENCE_TIMEOUT} s"
@@ -200,7 +200,7 @@
         with contextlib.closing(exchange):
             await self.check_response(exchange, item)
             version = parse_number(exchange.header(self.names.versions.encode()))
-            stream = blocks(exchange, SILENCE_TIMEOUT)
+            stream = iter_events(exchange, SILENCE_TIMEOUT)
             async with contextlib.aclosing(stream):
                 async for block in stream:
                     event = self.parse_event(block, version)
--- a/gypsumshift/jobs/jobmanager.py
+++ b/gypsumshift/jobs/jobmanager.py
@@ -136,7 +136,7 @@
             self.apply_result_rows,
             self.apply_result_rows,
             clock,
-            gather=RESULTS_GATHER_SECONDS,
+            batch_interval=RESULTS_GATHER_SECONDS,
         )
         self.watches = [self.job_watch, self.result_watch]
 
--- a/gypsumshift/jobs/liveness.py
+++ b/gypsumshift/jobs/liveness.py
@@ -11,10 +11,10 @@
 import json
 
 from gypsumshift import logs
-from gypsumshift.fetch import FetchError
+from gypsumshift.httpclient import FetchError
+from gypsumshift.httpserver import Request, Response, json_response
 from gypsumshift.jobs.records import Claim
 from gypsumshift.neighbours import StorePath
-from gypsumshift.server import Request, Response, json_response
 
 __all__ = [
     "LIVENESS_PATH",
@@ -92,6 +92,6 @@
 
     async def serve(self, request: Request) -> Response:
         """Answer a probe, with status 503 if this agent cannot store results."""
-        if not self.session or not self.path.works:
+        if not self.session or not self.path.is_available:
             return Response(503)
         return json_response(200, {"session": self.session})
--- a/gypsumshift/lifecycle.py
+++ b/gypsumshift/lifecycle.py
@@ -12,11 +12,11 @@
 from gypsumshift import logs
 from gypsumshift.bootstrap import Bootstrap
 from gypsumshift.clock import Clock
-from gypsumshift.neighbours import Neighbourhood
-from gypsumshift.server import BODY_LIMIT, Handler, Server
+from gypsumshift.httpserver import MAX_BODY_BYTES, Handler, HttpServer
+from gypsumshift.neighbours import NeighbourRegistry
 from gypsumshift.serving.directory import Directory
 from gypsumshift.serving.loadbalancer import LoadBalancer
-from gypsumshift.watch import Watch, run_all
+from gypsumshift.watch import Watch, run_watches
 
 __all__ = ["Node", "Port", "serve"]
 
@@ -36,13 +36,13 @@
     Attributes
     ----------
     address : (str, int)
-    server : Server
+    server : HttpServer
     always : bool
         Whether it answers to the very end, also while the process leaves.
     """
 
     address: tuple[str, int]
-    server: Server
+    server: HttpServer
     always: bool
 
 
@@ -63,7 +63,7 @@
         Bytes of a request's body that its ports take.
     """
 
-    body_limit = BODY_LIMIT
+    body_limit = MAX_BODY_BYTES
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
         self.ports: list[Port] = []
         self.joining: list[Callable[[], Coroutine]] = []
 
-    def join(self, neighbourhood: Neighbourhood, bootstrap: Bootstrap) -> None:
+    def join(self, neighbourhood: NeighbourRegistry, bootstrap: Bootstrap) -> None:
         """Learn of the other processes and from them, and tell them of this one."""
         self.watches.append(neighbourhood.watch)
         self.joining += [neighbourhood.run, bootstrap.run]
@@ -88,7 +88,7 @@
         self, address: tuple[str, int], handler: Handler, always: bool = False
     ) -> None:
         """Have a handler answer at an address; see `Port`."""
-        server = Server(handler, self.body_limit)
+        server = HttpServer(handler, self.body_limit)
         self.ports.append(Port(address, server, always))
 
     async def run(self) -> None:
@@ -96,7 +96,7 @@
         for port in self.ports:
             await port.server.listen(*port.address)
         async with asyncio.TaskGroup() as group:
-            group.create_task(run_all(self.watches))
+            group.create_task(run_watches(self.watches))
             group.create_task(self.sweep_on())
             for task in self.joining:
                 group.create_task(task())
--- a/gypsumshift/listeners.py
+++ b/gypsumshift/listeners.py
@@ -5,7 +5,7 @@
 __all__ = ["close_listener"]
 
 # Turns of the loop in which asyncio makes the protocol of a connection it has taken.
-TURNS_TO_ACCEPT = 3
+ACCEPT_LOOP_TURNS = 3
 
 
 async def close_listener(listener: asyncio.Server) -> None:
@@ -18,6 +18,6 @@
     loop = asyncio.get_running_loop()
     for listening in listener.sockets:
         loop.remove_reader(listening.fileno())
-    for _ in range(TURNS_TO_ACCEPT):
+    for _ in range(ACCEPT_LOOP_TURNS):
         await asyncio.sleep(0)
     listener.close()
--- a/gypsumshift/neighbours.py
+++ b/gypsumshift/neighbours.py
@@ -15,50 +15,50 @@
 
 from gypsumshift import logs
 from gypsumshift.clock import Clock
-from gypsumshift.fetch import Fetched, Fetcher, FetchError
+from gypsumshift.httpclient import FetchedResponse, Fetcher, FetchError
+from gypsumshift.httpserver import Handler, Request, Response
 from gypsumshift.outcomes import Committed
 from gypsumshift.platforms import Row, RowStore, Write
 from gypsumshift.policy import DEFAULT, Policy
-from gypsumshift.server import Handler, Request, Response
-from gypsumshift.watch import Silences, Watch
+from gypsumshift.watch import StaleRowDetector, Watch
 
-__all__ = ["Neighbour", "Neighbourhood", "Relay", "StorePath"]
+__all__ = ["Neighbour", "NeighbourRegistry", "Relay", "StorePath"]
 
 # Table of the processes of the system.
-NEIGHBOURS = "neighbours"
+NEIGHBOURS_TABLE = "neighbours"
 # Seconds between two writes of a process's own entry, and after which an entry that
 # was not written again is left out: its process is gone.
-ANNOUNCE_PERIOD = 15.0
-FORGOTTEN = 60.0
+ANNOUNCE_PERIOD_S = 15.0
+ENTRY_TIMEOUT_S = 60.0
 # Entries removed in one transaction: a store takes 100 rows, and one that was written
 # meanwhile holds up those beside it. They are drawn, since many remove at once.
-REMOVED_AT_ONCE = 16
+MAX_REMOVALS = 16
 # Seconds between answers of the table: who needs a neighbour asks three that it knows.
-GATHER = 1.0
+NEIGHBOURS_BATCH_INTERVAL_S = 1.0
 # Target by which a process is asked whether the store answers it.
-REACHES_STORE = "/neighbour/reaches-store"
+STORE_CHECK_PATH = "/neighbour/reaches-store"
 # Seconds within which the store must have answered a neighbour: its feeds bring an
 # answer each 0.8 s at the latest.
-RECENT = 1.2
+MAX_ANSWER_AGE_S = 1.2
 # Calls in a row that fail before neighbours are asked: a single answer is lost now
 # and then, and asking costs three calls.
-FAILURES_TO_ASK = 2
+FAILURES_BEFORE_SEARCH = 2
 # Neighbours asked at once, the time for their answer, and the pause until the next are
 # asked, in seconds. A round trip between zones takes 3 ms; hosts that are cut off
 # together do not answer.
-ASKED_AT_ONCE = 3
-ASK_TIMEOUT = 0.3
-ASK_PAUSE = 0.3
+CONCURRENT_PROBES = 3
+PROBE_TIMEOUT_S = 0.3
+SEARCH_PAUSE_S = 0.3
 # Seconds between tries of the direct way while a neighbour is used, and for its answer.
-DIRECT_PERIOD = 0.5
-DIRECT_TIMEOUT = 0.6
+DIRECT_PROBE_PERIOD_S = 0.5
+DIRECT_PROBE_TIMEOUT_S = 0.6
 # Seconds that a neighbour gives the store for an answer, beyond the wait of a feed.
-RELAY_TIMEOUT = 1.6
+RELAY_TIMEOUT_S = 1.6
 # What the store says where it turns a call away, and what a neighbour says where it
 # cannot know whether a call that it passed on was carried out.
-TURNED_AWAY = (429, 503)
-UNCERTAIN = 502
-JSON = [("content-type", "application/json")]
+REJECTED_STATUSES = (429, 503)
+UNCERTAIN_STATUS = 502
+JSON_HEADERS = [("content-type", "application/json")]
 
 log = logs.logger("neighbours")
 
@@ -134,22 +134,22 @@
         self.via: Neighbour | None = None
         self.reached_at = float("-inf")
         self.failures = 0
-        self.seeking: asyncio.Task | None = None
+        self.search_task: asyncio.Task | None = None
         self.probe_target = "/"
 
     @property
     def reaches_store(self) -> bool:
         """Whether the store answers this process directly."""
-        return self.clock.monotonic() - self.reached_at < RECENT
+        return self.clock.monotonic() - self.reached_at < MAX_ANSWER_AGE_S
 
     @property
-    def works(self) -> bool:
+    def is_available(self) -> bool:
         """Whether the store is reached, directly or through a neighbour."""
         return self.via is not None or self.reaches_store
 
     async def fetch(
         self, method: str, target: str, headers, body: bytes, timeout: float
-    ) -> Fetched:
+    ) -> FetchedResponse:
         """Call the store by the way that works.
 
         Raises
@@ -161,51 +161,59 @@
             return await self.fetch_direct(method, target, headers, body, timeout)
         return await self.fetch_via(self.via, method, target, headers, body, timeout)
 
-    async def fetch_direct(self, method, target, headers, body, timeout) -> Fetched:
+    async def fetch_direct(
+        self, method, target, headers, body, timeout
+    ) -> FetchedResponse:
         """Call the store directly, and learn whether that works."""
         try:
             answer = await self.fetcher.fetch(
                 self.store, method, target, headers, body, timeout
             )
         except FetchError:
-            self.note_failure()
+            self.record_failure()
             raise
-        if answer.status in TURNED_AWAY:
-            self.note_failure()
+        if answer.status in REJECTED_STATUSES:
+            self.record_failure()
         else:
             self.reached_at = self.clock.monotonic()
             self.failures = 0
         return answer
 
-    async def fetch_via(self, via, method, target, headers, body, timeout) -> Fetched:
+    async def fetch_via(
+        self, via, method, target, headers, body, timeout
+    ) -> FetchedResponse:
         """Have a neighbour call the store."""
         try:
             answer = await self.fetcher.fetch(
                 via.address, method, target, headers, body, timeout
             )
         except FetchError:
-            self.leave(via, "it does not answer")
+            self.stop_using_neighbour(via, "it does not answer")
             raise
-        if answer.status == UNCERTAIN:
+        if answer.status == UNCERTAIN_STATUS:
             raise FetchError(f"{via.name} got no answer from the store", True)
-        if answer.status in TURNED_AWAY:
-            self.leave(via, "the store turns it away")
+        if answer.status in REJECTED_STATUSES:
+            self.stop_using_neighbour(via, "the store turns it away")
         return answer
 
-    def leave(self, via: Neighbour, reason: str) -> None:
+    def stop_using_neighbour(self, via: Neighbour, reason: str) -> None:
         """Go back to the direct way."""
         if self.via == via:
             self.via = None
             logs.event(log, "A neighbour is left.", neighbour=via.name, reason=reason)
 
-    def note_failure(self) -> None:
+    def record_failure(self) -> None:
         """Count a direct call that failed, and ask neighbours after some."""
         self.failures += 1
-        idle = self.seeking is None or self.seeking.done()
-        if idle and self.failures >= FAILURES_TO_ASK and self.candidates():
-            self.seeking = asyncio.create_task(self.seek())
-
-    def candidates(self) -> list[Neighbour]:
+        idle = self.search_task is None or self.search_task.done()
+        if (
+            idle
+            and self.failures >= FAILURES_BEFORE_SEARCH
+            and self.choose_neighbours()
+        ):
+            self.search_task = asyncio.create_task(self.search_relay())
+
+    def choose_neighbours(self) -> list[Neighbour]:
         """Return the neighbours to ask at once, those of the own zone first.
 
         One of another zone is among them, since a whole zone may be cut off.
@@ -216,16 +224,16 @@
         self.chance.shuffle(known)
         near = [n for n in known if n.zone == self.zone]
         far = [n for n in known if n.zone != self.zone]
-        near = near[: ASKED_AT_ONCE - min(len(far), 1)]
-        return near + far[: ASKED_AT_ONCE - len(near)]
+        near = near[: CONCURRENT_PROBES - min(len(far), 1)]
+        return near + far[: CONCURRENT_PROBES - len(near)]
 
-    async def seek(self) -> None:
+    async def search_relay(self) -> None:
         """Find a neighbour that the store answers; use it until it answers here."""
-        asked = self.candidates()
-        answers = await asyncio.gather(*map(self.ask, asked))
+        asked = self.choose_neighbours()
+        answers = await asyncio.gather(*map(self.probe_neighbour, asked))
         able = [n for n, answer in zip(asked, answers, strict=True) if answer]
         if not able or self.reaches_store:
-            await self.clock.sleep(ASK_PAUSE)
+            await self.clock.sleep(SEARCH_PAUSE_S)
             return
         self.via = able[0]
         logs.event(
@@ -237,31 +245,31 @@
             failures=self.failures,
         )
         while self.via is not None:
-            await self.clock.sleep(DIRECT_PERIOD)
-            await self.try_direct()
+            await self.clock.sleep(DIRECT_PROBE_PERIOD_S)
+            await self.probe_store()
 
-    async def ask(self, neighbour: Neighbour) -> bool:
+    async def probe_neighbour(self, neighbour: Neighbour) -> bool:
         """Ask a neighbour whether the store answers it."""
         try:
             answer = await self.fetcher.fetch(
-                neighbour.address, "GET", REACHES_STORE, timeout=ASK_TIMEOUT
+                neighbour.address, "GET", STORE_CHECK_PATH, timeout=PROBE_TIMEOUT_S
             )
         except FetchError as error:
             log.debug("{} does not answer: {}", neighbour.name, error)
             return False
         return answer.status == 200
 
-    async def try_direct(self) -> None:
+    async def probe_store(self) -> None:
         """Try the direct way while a neighbour is used."""
         try:
             answer = await self.fetch_direct(
-                "GET", self.probe_target, (), b"", DIRECT_TIMEOUT
+                "GET", self.probe_target, (), b"", DIRECT_PROBE_TIMEOUT_S
             )
         except FetchError as error:
             log.debug("The store does not answer yet: {}", error)
             return
-        if answer.status not in TURNED_AWAY and self.via is not None:
-            self.leave(self.via, "the store answers here again")
+        if answer.status not in REJECTED_STATUSES and self.via is not None:
+            self.stop_using_neighbour(self.via, "the store answers here again")
 
 
 def parse_neighbour(row: Row) -> Neighbour:
@@ -287,27 +295,33 @@
         Handlers of what else neighbours may ask, by target.
     """
 
-    def __init__(self, path: StorePath, others: dict[str, Handler] | None = None):
+    def __init__(
+        self, path: StorePath, other_handlers: dict[str, Handler] | None = None
+    ):
         self.path = path
-        self.others = others or {}
+        self.other_handlers = other_handlers or {}
 
     async def serve(self, request: Request) -> Response:
         """Answer a neighbour."""
-        if request.path in self.others:
-            return await self.others[request.path](request)
-        if request.target == REACHES_STORE:
+        if request.path in self.other_handlers:
+            return await self.other_handlers[request.path](request)
+        if request.target == STORE_CHECK_PATH:
             return Response(200 if self.path.reaches_store else 503)
         try:
             answer = await self.path.fetch_direct(
-                request.method, request.target, JSON, request.body, RELAY_TIMEOUT
+                request.method,
+                request.target,
+                JSON_HEADERS,
+                request.body,
+                RELAY_TIMEOUT_S,
             )
         except FetchError as error:
             log.debug("A neighbour's call failed: {}", error)
-            return Response(UNCERTAIN if error.sent else 503)
-        return Response(answer.status, JSON, answer.body)
+            return Response(UNCERTAIN_STATUS if error.sent else 503)
+        return Response(answer.status, JSON_HEADERS, answer.body)
 
 
-class Neighbourhood:
+class NeighbourRegistry:
     """Tells the other processes of this one, and learns of them.
 
     Parameters
@@ -326,50 +340,50 @@
         self.clock = clock
         self.watch = Watch(
             store,
-            NEIGHBOURS,
-            self.take,
-            self.replace,
+            NEIGHBOURS_TABLE,
+            self.apply_rows,
+            self.replace_rows,
             clock,
-            unreadable=self.leave_out,
-            gather=GATHER,
+            unreadable=self.drop_unreadable_row,
+            batch_interval=NEIGHBOURS_BATCH_INTERVAL_S,
         )
-        self.silences = Silences(self.watch)
+        self.stale_rows = StaleRowDetector(self.watch)
 
-    def replace(self, rows: list[Row]) -> None:
+    def replace_rows(self, rows: list[Row]) -> None:
         """Take the whole table of neighbours; who is not in it is gone."""
         for name in self.path.neighbours.keys() - {row.key for row in rows}:
-            self.forget(name)
-        self.take(rows)
+            self.remove_neighbour(name)
+        self.apply_rows(rows)
 
-    def take(self, rows: list[Row]) -> None:
+    def apply_rows(self, rows: list[Row]) -> None:
         """Take rows of the table of neighbours."""
         for row in rows:
             if row.value is None or row.key == self.own.name:
-                self.forget(row.key)
+                self.remove_neighbour(row.key)
                 continue
             try:
                 neighbour = parse_neighbour(row)
             except (KeyError, TypeError, ValueError) as error:
-                self.leave_out(row, error)
+                self.drop_unreadable_row(row, error)
                 continue
             self.path.neighbours[row.key] = neighbour
-            self.silences.note(row)
+            self.stale_rows.record_row(row)
 
-    def leave_out(self, row: Row, error: object = "no JSON object") -> None:
+    def drop_unreadable_row(self, row: Row, error: object = "no JSON object") -> None:
         """Drop an entry that cannot be read: its version known here is an old one."""
         log.error("Cannot read {}/{}: {!r}", row.table, row.key, error)
-        self.forget(row.key)
+        self.remove_neighbour(row.key)
 
-    def forget(self, name: str) -> None:
+    def remove_neighbour(self, name: str) -> None:
         """Drop a process that is gone."""
         self.path.neighbours.pop(name, None)
-        self.silences.drop(name)
+        self.stale_rows.remove_row(name)
 
     async def run(self) -> None:
         """Announce this process until cancelled."""
         while True:
             await self.announce()
-            await self.clock.sleep(ANNOUNCE_PERIOD)
+            await self.clock.sleep(ANNOUNCE_PERIOD_S)
 
     async def announce(self) -> None:
         """Write the own entry alone, then remove those of processes that are gone.
@@ -379,20 +393,20 @@
         """
         own = self.own
         value = {"address": list(own.address), "zone": own.zone, "link": own.link}
-        outcome = await self.store.commit([Write(NEIGHBOURS, own.name, value)])
+        outcome = await self.store.commit([Write(NEIGHBOURS_TABLE, own.name, value)])
         if isinstance(outcome, Committed):
-            await self.remove_gone()
+            await self.remove_stale_entries()
             return
-        self.silences.restart()
+        self.stale_rows.restart_timers()
         reason = getattr(outcome, "reason", type(outcome).__name__)
         log.debug("This process is not announced yet: {}", reason)
 
-    async def remove_gone(self) -> None:
+    async def remove_stale_entries(self) -> None:
         """Remove some entries, drawn, only as known: newer ones may not be told yet."""
-        gone = self.silences.longer_than(FORGOTTEN)
-        drawn = self.path.chance.sample(gone, min(len(gone), REMOVED_AT_ONCE))
+        gone = self.stale_rows.older_than(ENTRY_TIMEOUT_S)
+        drawn = self.path.chance.sample(gone, min(len(gone), MAX_REMOVALS))
         if drawn:
-            writes = [Write(NEIGHBOURS, r.key, expected=r.version) for r in drawn]
+            writes = [Write(NEIGHBOURS_TABLE, r.key, expected=r.version) for r in drawn]
             outcome = type(await self.store.commit(writes)).__name__
             names = [row.key for row in drawn]
             logs.event(log, "Remove who is gone.", names=names, outcome=outcome)
--- a/gypsumshift/operators.py
+++ b/gypsumshift/operators.py
@@ -12,6 +12,7 @@
 from gypsumshift.events import merged
 from gypsumshift.generated import messages
 from gypsumshift.generated.messages import Body, Role
+from gypsumshift.httpserver import Request, Response, json_response, problem_response
 from gypsumshift.links import LinkError
 from gypsumshift.outcomes import (
     Committed,
@@ -26,7 +27,6 @@
 from gypsumshift.process import Process
 from gypsumshift.publication import Publisher
 from gypsumshift.revisions import HEADS_TABLE, Accepted
-from gypsumshift.server import Request, Response, json_response, problem
 from gypsumshift.settings import operator_token
 
 __all__ = ["Operators", "difference"]
@@ -140,12 +140,12 @@
         if isinstance(number, Unavailable):
             return platform_down(number)
         if not str(number).isdigit():
-            return problem(400, "not run", f"not a revision number: {text!r}")
+            return problem_response(400, "not run", f"not a revision number: {text!r}")
         found = await self.history.get(int(number))
         if isinstance(found, Unavailable):
             return platform_down(found)
         if isinstance(found, Missing):
-            return problem(404, "not run", f"there is no revision {number}")
+            return problem_response(404, "not run", f"there is no revision {number}")
         return json_response(200, attrs.asdict(found))
 
     async def newest(self) -> Accepted | Unavailable:
@@ -161,9 +161,9 @@
         try:
             value = json.loads(request.body)
         except ValueError as error:
-            return problem(400, "not run", f"the body is not JSON: {error}")
+            return problem_response(400, "not run", f"the body is not JSON: {error}")
         if not isinstance(value, dict) or "declarations" not in value:
-            return problem(422, "not run", "the body lacks declarations")
+            return problem_response(422, "not run", "the body lacks declarations")
         return value
 
     async def plan(self, request: Request) -> Response:
@@ -187,7 +187,9 @@
             return value
         base = value.get("base")
         if not isinstance(base, int) or base < 0:
-            return problem(422, "not run", "base takes the planned revision's number")
+            return problem_response(
+                422, "not run", "base takes the planned revision's number"
+            )
         catalog = declarations.parse(value["declarations"], "declarations")
         if isinstance(catalog, Invalid):
             return invalid(catalog)
@@ -207,7 +209,7 @@
         if isinstance(outcome, Conflict):
             return await self.conflict(base, outcome)
         if isinstance(outcome, Unknown):
-            return problem(504, "unknown", outcome.reason, retry_after=1.0)
+            return problem_response(504, "unknown", outcome.reason, retry_after=1.0)
         return platform_down(outcome)
 
     async def conflict(self, base: int, outcome: Conflict) -> Response:
@@ -217,7 +219,7 @@
         if isinstance(old, Accepted) and isinstance(new, Accepted):
             lines = difference(old.declarations, new.declarations)
         detail = f"planned on revision {base}, but {outcome.detail}"
-        return problem(409, "not run", detail, difference=lines)
+        return problem_response(409, "not run", detail, difference=lines)
 
     # Processes
 
@@ -273,7 +275,7 @@
         ]
         if not chosen:
             detail = f"no process or backend server {name!r} is known here"
-            return problem(404, "not run", detail)
+            return problem_response(404, "not run", detail)
         for known in chosen:
             if known.member.role == Role.SIDECAR:
                 key = LEAVING_PREFIX + known.member.backend
@@ -320,9 +322,11 @@
         pool, version = request.parameter("pool"), request.parameter("version")
         declared = self.process.in_force.catalog.pools.get(pool)
         if declared is None or declared.kind != "model":
-            return problem(404, "not run", f"there is no model pool {pool!r}")
+            return problem_response(404, "not run", f"there is no model pool {pool!r}")
         if not version.isdigit() or int(version) < 1:
-            return problem(422, "not run", "version takes a whole number from 1")
+            return problem_response(
+                422, "not run", "version takes a whole number from 1"
+            )
         outcome = await self.publisher.publish(
             pool, int(version), request.body, "operator"
         )
@@ -366,13 +370,13 @@
     """Return the answer for a platform that cannot be asked."""
     reason = getattr(outcome, "reason", "") or "no reason given"
     if isinstance(outcome, Unknown):
-        return problem(504, "unknown", reason, retry_after=1.0)
+        return problem_response(504, "unknown", reason, retry_after=1.0)
     detail = f"the platform cannot be asked: {reason}"
-    return problem(503, "not run", detail, retry_after=1.0)
+    return problem_response(503, "not run", detail, retry_after=1.0)
 
 
 def invalid(outcome: Invalid) -> Response:
     """Return the answer for rejected declarations."""
     problems = [str(each) for each in outcome.problems]
     detail = "the declarations were rejected; nothing was accepted"
-    return problem(422, "not run", detail, problems=problems)
+    return problem_response(422, "not run", detail, problems=problems)
--- a/gypsumshift/policy.py
+++ b/gypsumshift/policy.py
@@ -51,7 +51,7 @@
     shared_sight : bool
         Processes tell each other what they saw of servers (`gossip.py`).
     shared_rereads : bool
-        One process of a zone reads a whole table for the others (`rereads.py`).
+        One process of a zone reads a whole table for the others (`sharedreads.py`).
     """
 
     hedged_writes: bool = True
--- a/gypsumshift/poller.py
+++ b/gypsumshift/poller.py
@@ -8,10 +8,10 @@
 
 __all__ = ["LEAVING_PREFIX", "WEIGHTS_PREFIX", "Poller"]
 
-HEADS_PERIOD = 0.5
-HOSTS_PERIOD = 10.0
-READY_PERIOD = 0.2
-READY_NEIGHBOURS = 2
+HEADS_PERIOD_S = 0.5
+HOSTS_PERIOD_S = 10.0
+STARTUP_RETRY_PERIOD_S = 0.2
+MIN_REVISION_REPORTS = 2
 WEIGHTS_PREFIX = "weights/"
 LEAVING_PREFIX = "leaving/"
 
@@ -30,7 +30,7 @@
         self.hosts = process.platform.hosts
         self.head_seen: int | None = None
 
-    async def become_ready(self) -> None:
+    async def load_first_revision(self) -> None:
         """Learn a revision to begin with, from the platform."""
         process = self.process
         while not process.in_force.ready:
@@ -39,9 +39,9 @@
                 self.head_seen = head
                 await self.load_revision(head)
             if not process.in_force.ready:
-                await process.clock.sleep(READY_PERIOD)
+                await process.clock.sleep(STARTUP_RETRY_PERIOD_S)
 
-    def may_begin_with(self, number: int) -> bool:
+    def may_start_with(self, number: int) -> bool:
         """Tell whether a process without a revision may begin with this one.
 
         It may where the platform said that none is newer, or several neighbours
@@ -51,7 +51,7 @@
             return number >= self.head_seen
         known = self.process.view.known.values()
         told = [each.revision for each in known if each.revision >= 0]
-        return len(told) >= READY_NEIGHBOURS and number >= max(told)
+        return len(told) >= MIN_REVISION_REPORTS and number >= max(told)
 
     async def load_revision(self, number: int) -> None:
         """Read a revision from the platform and put it in force."""
@@ -73,9 +73,9 @@
             if process.polls():
                 await self.read_heads()
             if process.reads_hosts() and process.clock.monotonic() >= hosts_due:
-                hosts_due = process.clock.monotonic() + HOSTS_PERIOD
+                hosts_due = process.clock.monotonic() + HOSTS_PERIOD_S
                 await self.read_hosts()
-            await process.clock.sleep(HEADS_PERIOD)
+            await process.clock.sleep(HEADS_PERIOD_S)
 
     async def announce(self) -> bool:
         """Put this process on the platform's list; return whether it worked."""
--- a/gypsumshift/process.py
+++ b/gypsumshift/process.py
@@ -16,13 +16,19 @@
 from gypsumshift.generated.messages import Body, Member, Role
 from gypsumshift.generated.settings import Settings
 from gypsumshift.heartbeats import Heartbeats
+from gypsumshift.httpserver import (
+    HttpServer,
+    Request,
+    Response,
+    json_response,
+    problem_response,
+)
 from gypsumshift.links import Link, PeerServer, Session
 from gypsumshift.members import Known, View, rank
 from gypsumshift.metrics import Metrics, scrape
 from gypsumshift.platforms import Platform
 from gypsumshift.poller import Poller
 from gypsumshift.revisions import History, InForce
-from gypsumshift.server import Request, Response, Server, json_response, problem
 
 __all__ = ["Process"]
 
@@ -69,7 +75,7 @@
         self.stopped = asyncio.Event()
         self.tasks: set[asyncio.Task] = set()
         self.peers = PeerServer(self.serve, self.session_ended, self.recorder)
-        self.operators = Server(self.serve_operator)
+        self.operators = HttpServer(self.serve_operator)
         self.operator_address = ("", 0)
 
     def describe(self) -> Member:
@@ -105,7 +111,7 @@
         self.own.port = await self.peers.listen(settings.host, settings.peer_port)
         port = await self.operators.listen(settings.host, settings.operator_port)
         self.operator_address = (settings.host, port)
-        self.spawn(self.poller.become_ready())
+        self.spawn(self.poller.load_first_revision())
         self.spawn(self.heartbeats.run())
         self.spawn(self.poller.run())
         log.info("Started as {} in {}.", settings.role, settings.zone)
@@ -155,7 +161,7 @@
 
     def adopt(self, number: int, text: str) -> None:
         """Put a revision in force and tell the neighbours at once."""
-        if not self.in_force.ready and not self.poller.may_begin_with(number):
+        if not self.in_force.ready and not self.poller.may_start_with(number):
             return
         if self.in_force.adopt(number, text):
             self.revision_changed()
@@ -251,13 +257,13 @@
             return Response(200, [content_type], scrape())
         if request.path == "/health":
             return self.health()
-        return problem(404, "not run", f"there is nothing at {request.path}")
+        return problem_response(404, "not run", f"there is nothing at {request.path}")
 
     def health(self) -> Response:
         """Answer the balancer: whether new requests are welcome here."""
         if self.own.leaving or not self.in_force.ready:
             reason = "leaving" if self.own.leaving else "no revision yet"
-            return problem(503, "not run", reason)
+            return problem_response(503, "not run", reason)
         return json_response(200, {"status": "ok"})
 
     def chosen_poller(self, candidates: list[Known]) -> bool:
--- a/gypsumshift/remote.py
+++ b/gypsumshift/remote.py
@@ -6,7 +6,7 @@
 import attrs
 
 from gypsumshift import platforms
-from gypsumshift.fetch import Fetched, Fetcher, FetchError
+from gypsumshift.httpclient import FetchedResponse, Fetcher, FetchError
 from gypsumshift.outcomes import (
     Committed,
     Conflict,
@@ -72,7 +72,7 @@
         return written(answer)
 
 
-def written(answer: Fetched) -> Written:
+def written(answer: FetchedResponse) -> Written:
     """Return the outcome that a status says."""
     if answer.status in (200, 201, 204):
         return Committed()
--- a/gypsumshift/runs.py
+++ b/gypsumshift/runs.py
@@ -8,11 +8,15 @@
 from gypsumshift.admission import Admission, FairAdmission, FifoAdmission, Ticket
 from gypsumshift.attempts import AttemptLog
 from gypsumshift.backend import Backend
-from gypsumshift.exchange import Reply, forward, versions
-from gypsumshift.fetch import Fetcher, FetchError
+from gypsumshift.backendrequest import (
+    BackendResponse,
+    distinct_versions,
+    send_to_backend,
+)
 from gypsumshift.generated import messages
 from gypsumshift.generated.declarations import Pool
 from gypsumshift.generated.messages import Body, RequestClass, Start
+from gypsumshift.httpclient import Fetcher, FetchError
 from gypsumshift.limits import FixedLimit, LearntLimit
 from gypsumshift.links import Session
 from gypsumshift.process import Process
@@ -214,7 +218,7 @@
         remaining = ticket.deadline - self.clock.monotonic()
         try:
             async with asyncio.timeout(remaining):
-                reply = await forward(
+                reply = await send_to_backend(
                     self.fetcher,
                     self.backend.address,
                     start,
@@ -231,7 +235,7 @@
         except TimeoutError:
             return self.failure(run, "no answer in time", True)
 
-    async def relay(self, run: Run, reply: Reply) -> Body:
+    async def relay(self, run: Run, reply: BackendResponse) -> Body:
         """Pass an answer on: a short one at once, others as they come."""
         held, kept = bytearray(), bytearray()
         keep = not run.start.repeatable
@@ -254,16 +258,18 @@
             return Body(end=end)
         return Body(whole=messages.Whole(reply.head, bytes(held), end))
 
-    async def end(self, run: Run, reply: Reply, kept: bytearray) -> messages.End:
+    async def end(
+        self, run: Run, reply: BackendResponse, kept: bytearray
+    ) -> messages.End:
         """Label an answer that has ended, and keep it where it may be asked for."""
         after = None
-        if reply.reader.needs_after:
+        if reply.reader.needs_final_version:
             after = (await self.backend.ask()).version
         spans = reply.reader.spans(after)
         if not run.start.repeatable:
             head = reply.head if len(kept) <= KEPT_BODY_LIMIT else None
             self.attempts.finish(run.start.attempt, head, bytes(kept))
-        seen = ",".join(str(version) for version in versions(spans))
+        seen = ",".join(str(version) for version in distinct_versions(spans))
         detail = f"versions {seen}" if seen else ""
         self.recorder.note("end", run.start.attempt, detail)
         return messages.End(spans)
--- a/gypsumshift/serving/crashtable.py
+++ b/gypsumshift/serving/crashtable.py
@@ -138,8 +138,8 @@
             self.apply_changes,
             self.apply_snapshot,
             clock,
-            keep=True,
-            poll=MAX_FEED_WAIT,
+            keeps_rows=True,
+            max_feed_wait=MAX_FEED_WAIT,
         )
 
     @property
--- a/gypsumshift/serving/latecrashes.py
+++ b/gypsumshift/serving/latecrashes.py
@@ -11,7 +11,7 @@
 
 from gypsumshift import logs
 from gypsumshift.clock import Clock
-from gypsumshift.fetch import Fetcher
+from gypsumshift.httpclient import Fetcher
 from gypsumshift.serving.crashguard import CrashGuard, Permit
 from gypsumshift.serving.directory import BackendServer, Directory
 from gypsumshift.serving.liveness import is_gone
@@ -80,7 +80,7 @@
 
     async def has_crashed(self, server: BackendServer) -> bool:
         """Return whether a server is gone; connect only if no connection is open."""
-        if self.fetcher.connected(server.address):
+        if self.fetcher.has_idle_connection(server.address):
             return False
         return await is_gone(self.directory, self.fetcher, server)
 
--- a/gypsumshift/serving/liveness.py
+++ b/gypsumshift/serving/liveness.py
@@ -1,6 +1,6 @@
 """Liveness: whether a backend server is gone that closed a connection."""
 
-from gypsumshift.fetch import Fetcher
+from gypsumshift.httpclient import Fetcher
 from gypsumshift.serving.directory import BackendServer, Directory
 
 __all__ = ["is_gone"]
@@ -21,4 +21,4 @@
     if listed is None or listed.start != server.start:
         # A new start may listen at the address by now.
         return True
-    return await fetcher.refuses(server.address, GONE_TIMEOUT)
+    return await fetcher.is_connection_refused(server.address, GONE_TIMEOUT)
--- a/gypsumshift/serving/responses.py
+++ b/gypsumshift/serving/responses.py
@@ -1,6 +1,6 @@
 """Answers: what the head of a backend server's answer says."""
 
-from gypsumshift.fetch import Exchange
+from gypsumshift.httpclient import Exchange
 from gypsumshift.serving.calls import Refused
 from gypsumshift.serving.headers import HOP_BY_HOP, HeaderNames
 
--- a/gypsumshift/serving/sender.py
+++ b/gypsumshift/serving/sender.py
@@ -6,7 +6,7 @@
 from gypsumshift import logs
 from gypsumshift.clock import Clock
 from gypsumshift.eventstream import StreamBroken
-from gypsumshift.fetch import Exchange, Fetcher, FetchError, Withheld
+from gypsumshift.httpclient import Exchange, Fetcher, FetchError, RequestWithheld
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import Answered
 from gypsumshift.serving.authorization import KEY_NOT_CONFIRMED
@@ -128,7 +128,7 @@
         fresh = not call.repeatable
         try:
             return await self.exchange_once(call, server, fresh)
-        except Withheld:
+        except RequestWithheld:
             return Refused(KEY_NOT_CONFIRMED)
         except FetchError as error:
             first = error
--- a/gypsumshift/serving/streams.py
+++ b/gypsumshift/serving/streams.py
@@ -14,10 +14,10 @@
 import attrs
 
 from gypsumshift import logs
-from gypsumshift.eventstream import StreamBroken, blocks, field_of
-from gypsumshift.fetch import Exchange, FetchError, Withheld
+from gypsumshift.eventstream import StreamBroken, event_field, iter_events
+from gypsumshift.httpclient import Exchange, FetchError, RequestWithheld
+from gypsumshift.httpserver import ResponseAborted
 from gypsumshift.outcomes import HeldBack, NotRun, Unknown
-from gypsumshift.server import Abandon
 from gypsumshift.serving.authorization import KEY_NOT_CONFIRMED
 from gypsumshift.serving.calls import Call
 from gypsumshift.serving.crashguard import HELD_BACK_REASON, Permit
@@ -161,30 +161,30 @@
 
     def read_apart(self, body, deadline: float) -> AsyncIterator[bytes]:
         """Return a body that is read to its end, also where its caller leaves."""
-        parts: asyncio.Queue[bytes | Abandon | None] = asyncio.Queue()
+        parts: asyncio.Queue[bytes | ResponseAborted | None] = asyncio.Queue()
         self.keep(self.read_all(body, parts, deadline))
         return self.parts(parts)
 
     async def read_all(self, body, parts: asyncio.Queue, deadline: float) -> None:
         """Read a body to its end, or to its deadline, into a queue."""
         left = max(0.0, deadline - self.sender.clock.monotonic())
-        end = Abandon("an error inside this process; see its log")
+        end = ResponseAborted("an error inside this process; see its log")
         try:
             async with asyncio.timeout(left), contextlib.aclosing(body):
                 async for data in body:
                     parts.put_nowait(data)
             end = None
-        except Abandon as reason:
+        except ResponseAborted as reason:
             end = reason
         except TimeoutError:
-            end = Abandon("the deadline passed")
+            end = ResponseAborted("the deadline passed")
         finally:
             parts.put_nowait(end)
 
     async def parts(self, parts: asyncio.Queue):
         """Yield what is read apart; cut where that was."""
         while (data := await parts.get()) is not None:
-            if isinstance(data, Abandon):
+            if isinstance(data, ResponseAborted):
                 raise data
             yield data
 
@@ -214,7 +214,7 @@
             try:
                 async with asyncio.timeout(left):
                     exchange = await self.open_at(call, server, after)
-            except Withheld:
+            except RequestWithheld:
                 relayed.server = None
                 continue
             except (FetchError, TimeoutError) as error:
@@ -317,7 +317,7 @@
             except FetchError as error:
                 gone = await self.sender.is_gone(error, server)
                 self.note_broken(relayed, server, str(error), True, gone)
-                raise Abandon(str(error)) from error
+                raise ResponseAborted(str(error)) from error
 
     async def resume(self, relayed: Relayed, exchange: Exchange, server):
         """Yield whole events; goes on elsewhere where a server breaks off."""
@@ -327,9 +327,9 @@
         while True:
             try:
                 with contextlib.closing(exchange):
-                    async for block in blocks(exchange, SILENCE_TIMEOUT):
+                    async for block in iter_events(exchange, SILENCE_TIMEOUT):
                         yield block + b"\n\n"
-                        relayed.last = field_of(block, "id") or relayed.last
+                        relayed.last = event_field(block, "id") or relayed.last
                 return
             except StreamBroken as error:
                 reason = str(error)
@@ -339,7 +339,9 @@
             opened = await self.open(relayed, relayed.last)
             if not isinstance(opened, tuple):
                 told = f"{reason}; {opened.reason}"
-                raise Abandon(f"cannot be resumed behind event {relayed.last}: {told}")
+                raise ResponseAborted(
+                    f"cannot be resumed behind event {relayed.last}: {told}"
+                )
             exchange, server = opened
 
 
--- a/gypsumshift/rereads.py
+++ b/gypsumshift/sharedreads.py
@@ -19,35 +19,41 @@
 
 from gypsumshift import logs
 from gypsumshift.clock import Clock
-from gypsumshift.fetch import FetchError
+from gypsumshift.httpclient import FetchError
+from gypsumshift.httpserver import Request, Response
 from gypsumshift.neighbours import Neighbour, StorePath
 from gypsumshift.outcomes import Unavailable
 from gypsumshift.platforms import Changes, Row, RowStore, WrappedStore
 from gypsumshift.policy import DEFAULT, Policy
-from gypsumshift.server import Request, Response
 
-__all__ = ["TABLE", "SharedReads", "pack", "readers", "unpack"]
+__all__ = [
+    "TABLE_PATH",
+    "SharedReadStore",
+    "pack_table",
+    "order_readers",
+    "unpack_table",
+]
 
 # Target by which a process is asked to read a table.
-TABLE = "/neighbour/table"
+TABLE_PATH = "/neighbour/table"
 # Seconds for which a table that was read is handed on. All that lost their history
 # learn of it within a feed's longest answer.
-HANDED_ON = 1.0
+COPY_LIFETIME_S = 1.0
 # Processes asked before one reads by itself, and seconds for the answer of each: with
 # two, a configuration is in force within its bound of 2 s also when both are gone.
-ASKED = 2
-ASK_TIMEOUT = 0.5
+MAX_READERS_ASKED = 2
+READER_TIMEOUT_S = 0.5
 # Hosts with less than this part of the widest link of their zone read for nobody: the
 # jobs of a large step are some 2 MB, and entry hosts have links of 30 Mbit/s and more.
-LINK_SHARE = 0.5
+MIN_LINK_RATIO = 0.5
 # Least effort of compression: a fifth of the bytes for 10 ms a megabyte.
-FAST = 1
+COMPRESSION_LEVEL = 1
 
 log = logs.logger("rereads")
 
 
 @attrs.define
-class Copy:
+class TableCopy:
     """A table that was read here.
 
     Attributes
@@ -64,13 +70,13 @@
     read_at: float
     packed: bytes = b""
 
-    def pack(self) -> bytes:
+    def packed_table(self) -> bytes:
         """Return the table as it is handed on."""
-        self.packed = self.packed or pack(self.changes)
+        self.packed = self.packed or pack_table(self.changes)
         return self.packed
 
 
-class SharedReads(WrappedStore):
+class SharedReadStore(WrappedStore):
     """Store whose whole tables are read once for a zone.
 
     Parameters
@@ -97,25 +103,25 @@
         self.own = own
         self.clock = clock
         self.policy = policy
-        self.copies: dict[str, Copy] = {}
-        self.reading: dict[str, asyncio.Task] = {}
+        self.copies: dict[str, TableCopy] = {}
+        self.pending_reads: dict[str, asyncio.Task] = {}
 
     async def snapshot(self, table, after=0):
         """Return the rows of all parts, as read here or by the zone's reader."""
-        for reader in self.asked(table):
-            changes = await self.ask(reader, table, after)
+        for reader in self.readers_to_ask(table):
+            changes = await self.request_table(reader, table, after)
             if changes is not None:
                 return changes
-        copy = await self.read_once(table, after)
+        copy = await self.read_shared(table, after)
         if isinstance(copy, Unavailable):
             return copy
-        return attrs.evolve(copy.changes, age=self.age(copy))
+        return attrs.evolve(copy.changes, age=self.age_of(copy))
 
-    def age(self, copy: Copy) -> float:
+    def age_of(self, copy: TableCopy) -> float:
         """Return the seconds since a copy was read."""
         return self.clock.monotonic() - copy.read_at
 
-    def asked(self, table: str) -> list[Neighbour]:
+    def readers_to_ask(self, table: str) -> list[Neighbour]:
         """Return the processes to ask for a table; none where this one reads it.
 
         Nor while the store does not answer here: others would wait for it as well.
@@ -124,20 +130,22 @@
             return []
         others = self.path.neighbours.values()
         near = [n for n in others if n.zone == self.own.zone]
-        found = readers(table, [self.own, *near])[:ASKED]
+        found = order_readers(table, [self.own, *near])[:MAX_READERS_ASKED]
         return [] if self.own in found else found
 
-    async def ask(self, reader: Neighbour, table: str, after: int) -> Changes | None:
+    async def request_table(
+        self, reader: Neighbour, table: str, after: int
+    ) -> Changes | None:
         """Have another process read a table; None where it does not."""
         query = urllib.parse.urlencode({"name": table, "after": after})
         try:
             answer = await self.path.fetcher.fetch(
-                reader.address, "GET", f"{TABLE}?{query}", timeout=ASK_TIMEOUT
+                reader.address, "GET", f"{TABLE_PATH}?{query}", timeout=READER_TIMEOUT_S
             )
             if answer.status != 200:
                 return None
             age, _, packed = answer.body.partition(b"\n")
-            changes = attrs.evolve(unpack(packed), age=float(age))
+            changes = attrs.evolve(unpack_table(packed), age=float(age))
         except (FetchError, AttributeError, KeyError, TypeError, ValueError) as error:
             log.debug("{} does not read {}: {}", reader.name, table, error)
             return None
@@ -151,70 +159,74 @@
         after = request.parameter("after", "0")
         if not after.isdigit():
             return Response(400)
-        copy = await self.read_once(request.parameter("name"), int(after))
+        copy = await self.read_shared(request.parameter("name"), int(after))
         if isinstance(copy, Unavailable):
             return Response(503)
-        return Response(200, [], b"%.3f\n%b" % (self.age(copy), copy.pack()))
+        return Response(200, [], b"%.3f\n%b" % (self.age_of(copy), copy.packed_table()))
 
-    async def read_once(self, table: str, after: int) -> Copy | Unavailable:
+    async def read_shared(self, table: str, after: int) -> TableCopy | Unavailable:
         """Read a table, or return what was read a moment ago or is being read."""
         copy = self.copies.get(table)
-        if copy and self.age(copy) < HANDED_ON and copy.changes.version >= after:
+        if (
+            copy
+            and self.age_of(copy) < COPY_LIFETIME_S
+            and copy.changes.version >= after
+        ):
             return copy
-        if table not in self.reading:
-            task = asyncio.create_task(self.read_whole(table))
-            self.reading[table] = task
-            task.add_done_callback(lambda _: self.reading.pop(table, None))
-        copy = await asyncio.shield(self.reading[table])
-        if isinstance(copy, Copy) and copy.changes.version < after:
+        if table not in self.pending_reads:
+            task = asyncio.create_task(self.read_from_store(table))
+            self.pending_reads[table] = task
+            task.add_done_callback(lambda _: self.pending_reads.pop(table, None))
+        copy = await asyncio.shield(self.pending_reads[table])
+        if isinstance(copy, TableCopy) and copy.changes.version < after:
             # It was begun before the asker heard of that version.
-            return await self.read_whole(table)
+            return await self.read_from_store(table)
         return copy
 
-    async def read_whole(self, table: str) -> Copy | Unavailable:
+    async def read_from_store(self, table: str) -> TableCopy | Unavailable:
         """Read a table from the store, and keep it for a moment."""
         read_at = self.clock.monotonic()
         changes = await self.inner.snapshot(table)
         if isinstance(changes, Unavailable):
             return changes
-        self.copies[table] = Copy(changes, read_at)
+        self.copies[table] = TableCopy(changes, read_at)
         return self.copies[table]
 
     async def run(self) -> None:
         """Forget what nobody asks for any more, until cancelled."""
         while True:
-            await self.clock.sleep(HANDED_ON)
-            horizon = self.clock.monotonic() - HANDED_ON
+            await self.clock.sleep(COPY_LIFETIME_S)
+            horizon = self.clock.monotonic() - COPY_LIFETIME_S
             for table in [t for t, c in self.copies.items() if c.read_at < horizon]:
                 del self.copies[table]
 
 
-def readers(table: str, processes: list[Neighbour]) -> list[Neighbour]:
+def order_readers(table: str, processes: list[Neighbour]) -> list[Neighbour]:
     """Return who may read a table for the others, in the order of asking.
 
     Each table has another order, so that one process does not read all of them, and
     it changes little when a process comes or goes.
     """
     widest = max(process.link for process in processes)
-    able = [p for p in processes if p.link >= LINK_SHARE * widest]
-    return sorted(able, key=lambda process: rank(table, process.name))
+    able = [p for p in processes if p.link >= MIN_LINK_RATIO * widest]
+    return sorted(able, key=lambda process: reader_rank(table, process.name))
 
 
-def rank(table: str, name: str) -> bytes:
+def reader_rank(table: str, name: str) -> bytes:
     """Return what decides the place of a process among the readers of a table."""
     return hashlib.blake2b(f"{table}/{name}".encode(), digest_size=8).digest()
 
 
-def pack(changes: Changes) -> bytes:
+def pack_table(changes: Changes) -> bytes:
     """Return a table as one process hands it to another."""
     rows = [
         [r.table, r.key, r.version, r.value, r.part, r.readable] for r in changes.rows
     ]
     value = [changes.version, rows]
-    return zlib.compress(json.dumps(value).encode(), FAST)
+    return zlib.compress(json.dumps(value).encode(), COMPRESSION_LEVEL)
 
 
-def unpack(body: bytes) -> Changes:
+def unpack_table(body: bytes) -> Changes:
     """Return a table that was packed; raises TypeError or ValueError."""
     try:
         version, rows = json.loads(zlib.decompress(body))
--- a/gypsumshift/sidecar.py
+++ b/gypsumshift/sidecar.py
@@ -3,10 +3,10 @@
 from gypsumshift import logs
 from gypsumshift.addresses import parse_address
 from gypsumshift.backend import Backend, Fence
-from gypsumshift.fetch import Fetcher
 from gypsumshift.generated import messages
 from gypsumshift.generated.declarations import Pool
 from gypsumshift.generated.messages import Body, Role
+from gypsumshift.httpclient import Fetcher
 from gypsumshift.members import rank
 from gypsumshift.outcomes import Missing, Unavailable
 from gypsumshift.poller import LEAVING_PREFIX
@@ -59,7 +59,7 @@
     async def stop(self) -> None:
         """Stop at once."""
         await super().stop()
-        self.fetcher.close()
+        self.fetcher.close_idle()
 
     # What it knows
 
--- a/gypsumshift/trainers.py
+++ b/gypsumshift/trainers.py
@@ -9,6 +9,7 @@
 from gypsumshift.generated.declarations import Trainer
 from gypsumshift.generation import Generator
 from gypsumshift.groups import Group, Step
+from gypsumshift.httpserver import Request, Response, json_response, problem_response
 from gypsumshift.ledger import Ledger
 from gypsumshift.outcomes import (
     Committed,
@@ -19,7 +20,6 @@
 )
 from gypsumshift.process import Process
 from gypsumshift.publication import Publisher
-from gypsumshift.server import Request, Response, json_response, problem
 
 __all__ = ["Trainers"]
 
@@ -102,7 +102,9 @@
         name, _, what = rest.partition("/")
         trainer = self.process.in_force.catalog.trainers.get(name)
         if trainer is None or trainer.workspace != workspace:
-            return problem(404, "not run", f"{workspace} has no trainer {name!r}")
+            return problem_response(
+                404, "not run", f"{workspace} has no trainer {name!r}"
+            )
         kind, _, argument = what.partition("/")
         if kind == "groups" and request.method == "POST" and not argument:
             return await self.submit(trainer, request)
@@ -112,17 +114,19 @@
             return await self.publish(trainer, int(argument), request)
         if not kind and request.method == "GET":
             return await self.show(trainer)
-        return problem(404, "not run", f"a trainer has no {request.method} {what!r}")
+        return problem_response(
+            404, "not run", f"a trainer has no {request.method} {what!r}"
+        )
 
     async def submit(self, trainer: Trainer, request: Request) -> Response:
         """Accept groups, each once per id."""
         try:
             value = json.loads(request.body)
         except ValueError as error:
-            return problem(400, "not run", f"the body is not JSON: {error}")
+            return problem_response(400, "not run", f"the body is not JSON: {error}")
         problems = documents.check(value, GROUP_SCHEMA, "body")
         if problems:
-            return problem(422, "not run", str(problems[0]))
+            return problem_response(422, "not run", str(problems[0]))
         groups = documents.build(value, list[Group])
         outcome = await Ledger(self.platform, trainer.name).submit(groups)
         if isinstance(outcome, (Unavailable, Unknown)):
@@ -136,14 +140,14 @@
         wait = request.parameter("wait", str(WAIT_DEFAULT))
         if not version.isdigit() or not is_seconds(wait):
             detail = "version takes a whole number, wait takes seconds"
-            return problem(400, "not run", detail)
+            return problem_response(400, "not run", detail)
         if number < 1:
-            return problem(404, "not run", "steps count from 1")
+            return problem_response(404, "not run", "steps count from 1")
         began = self.clock.monotonic()
         ledger = Ledger(self.platform, trainer.name)
         trainee = await ledger.want(number, int(version))
         if isinstance(trainee, Conflict):
-            return problem(409, "not run", trainee.detail)
+            return problem_response(409, "not run", trainee.detail)
         if isinstance(trainee, Unavailable):
             return unsure(trainee)
         self.generator.nudge(trainer.name)
@@ -152,9 +156,9 @@
         if isinstance(step, Step):
             return await self.deliver(ledger, trainer, step, began)
         if number <= trainee.sealed and isinstance(step, Missing):
-            return problem(410, "not run", f"step {number} is no longer kept")
+            return problem_response(410, "not run", f"step {number} is no longer kept")
         detail = f"step {number} is not complete yet"
-        return problem(503, "not run", detail, retry_after=RETRY_AFTER)
+        return problem_response(503, "not run", detail, retry_after=RETRY_AFTER)
 
     async def await_step(self, ledger, trainer: Trainer, number: int, deadline: float):
         """Return a step, sealing it as soon as enough groups are ready."""
@@ -178,7 +182,9 @@
         """Return a step's samples."""
         samples = await ledger.samples(step)
         if isinstance(samples, Missing):
-            return problem(410, "not run", f"step {step.number} is no longer kept")
+            return problem_response(
+                410, "not run", f"step {step.number} is no longer kept"
+            )
         if isinstance(samples, Unavailable):
             return unsure(samples)
         idle = self.clock.monotonic() - began
@@ -202,7 +208,9 @@
     async def publish(self, trainer: Trainer, version: int, request) -> Response:
         """Publish weights: store them, then name the version to everyone."""
         if not trainer.publishes:
-            return problem(403, "not run", f"{trainer.name} may not publish weights")
+            return problem_response(
+                403, "not run", f"{trainer.name} may not publish weights"
+            )
         pool, by = trainer.pool, f"trainer {trainer.name}"
         outcome = await self.publisher.publish(pool, version, request.body, by)
         if not isinstance(outcome, Committed):
@@ -236,6 +244,6 @@
     """Return the answer for an outcome that calls for another try."""
     if isinstance(outcome, Unknown):
         detail = f"{outcome.reason}; the same request again is harmless"
-        return problem(504, "unknown", detail, retry_after=RETRY_AFTER)
+        return problem_response(504, "unknown", detail, retry_after=RETRY_AFTER)
     detail = f"the platform cannot be asked: {outcome.reason}"
-    return problem(503, "not run", detail, retry_after=RETRY_AFTER)
+    return problem_response(503, "not run", detail, retry_after=RETRY_AFTER)
--- a/gypsumshift/watch.py
+++ b/gypsumshift/watch.py
@@ -9,24 +9,24 @@
 from gypsumshift.outcomes import Unavailable
 from gypsumshift.platforms import Changes, HistoryLost, Row, RowStore
 
-__all__ = ["Silences", "Watch"]
+__all__ = ["StaleRowDetector", "Watch"]
 
 # A feed answers after this time at the latest, so that one that fell silent is
 # found out soon: changes must be in force everywhere within two seconds.
-POLL = datetime.timedelta(seconds=0.8)
+MAX_FEED_WAIT = datetime.timedelta(seconds=0.8)
 # The same while the store does not answer, so that its return is noticed soon.
-POLL_SILENT = datetime.timedelta(seconds=0.1)
+MAX_FEED_WAIT_UNCONFIRMED = datetime.timedelta(seconds=0.1)
 # Seconds between answers that hold changes, unless the owner of a table asks for
 # others: many small changes then come in one answer, which bounds the calls of each
 # process to some 15 a second and table.
-GATHER = 0.05
+BATCH_INTERVAL_S = 0.05
 # Seconds before another try where the store could not be asked.
-RETRY_FIRST = 0.05
-RETRY_MOST = 0.2
+FIRST_RETRY_DELAY_S = 0.05
+MAX_RETRY_DELAY_S = 0.2
 # Seconds between two answers up to which a table counts as heard in between. Longer
 # than a pause of a second to gather changes, a feed's longest wait and 0.7 s for its
 # answer; a feed that failed takes longer.
-HEARD_GAP = 2.6
+MAX_FOLLOWED_GAP_S = 2.6
 
 log = logs.logger("watch")
 
@@ -86,14 +86,14 @@
         replace: Callable[[list[Row]], None],
         clock: Clock,
         on_return: Callable[[], None] = lambda: None,
-        keep: bool = False,
+        keeps_rows: bool = False,
         unreadable: Callable[[Row], None] | None = None,
-        gather: float = GATHER,
-        poll: datetime.timedelta = POLL,
+        batch_interval: float = BATCH_INTERVAL_S,
+        max_feed_wait: datetime.timedelta = MAX_FEED_WAIT,
     ):
-        self.gather = gather
-        self.poll = poll
-        self.keep = keep
+        self.batch_interval = batch_interval
+        self.max_feed_wait = max_feed_wait
+        self.keeps_rows = keeps_rows
         self.unreadable = unreadable or log_unreadable
         self.rows: dict[tuple[str, str], Row] = {}
         self.on_return = on_return
@@ -103,27 +103,29 @@
         self.replace = replace
         self.clock = clock
         self.version = -1
-        self.known_version = 0
+        self.min_version = 0
         self.current_at = float("-inf")
         self.confirmed_at = float("-inf")
         self.confirmed = False
         self.confirming: asyncio.Task | None = None
         self.recovered_at = float("-inf")
-        self.heard = 0.0
+        self.followed_seconds = 0.0
         self.failures = 0
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
         while True:
             before = self.version
-            await self.step()
+            await self.poll_once()
             if self.failures:
-                pause = min(RETRY_FIRST * 2 ** (self.failures - 1), RETRY_MOST)
+                pause = min(
+                    FIRST_RETRY_DELAY_S * 2 ** (self.failures - 1), MAX_RETRY_DELAY_S
+                )
                 await self.clock.sleep(pause)
             elif self.version != before:
-                await self.clock.sleep(self.gather)
+                await self.clock.sleep(self.batch_interval)
 
-    async def step(self) -> None:
+    async def poll_once(self) -> None:
         """Ask once, and take what was told.
 
         What was asked decides what the answer is: a neighbour may tell the table while
@@ -132,16 +134,18 @@
         """
         if self.version >= 0:
             hasty = self.failures or not self.confirmed
-            await self.follow(POLL_SILENT if hasty else self.poll)
+            await self.poll_changes(
+                MAX_FEED_WAIT_UNCONFIRMED if hasty else self.max_feed_wait
+            )
             return
-        answer = await self.store.snapshot(self.table, self.known_version)
-        self.judge(answer, whole=True)
+        answer = await self.store.snapshot(self.table, self.min_version)
+        self.process_answer(answer, whole=True)
 
-    async def follow(self, wait: datetime.timedelta) -> None:
+    async def poll_changes(self, wait: datetime.timedelta) -> None:
         """Ask for changes, and take them; a whole answer confirms the copy."""
         began = self.clock.elapsed()
         answer = await self.store.changes(self.table, self.version, wait)
-        if self.judge(answer, whole=False):
+        if self.process_answer(answer, whole=False):
             self.confirmed = True
             self.confirmed_at = max(self.confirmed_at, began)
 
@@ -150,25 +154,27 @@
         if self.version < 0:
             return
         if self.confirming is None or self.confirming.done():
-            self.confirming = asyncio.create_task(self.follow(datetime.timedelta()))
+            self.confirming = asyncio.create_task(
+                self.poll_changes(datetime.timedelta())
+            )
         await asyncio.shield(self.confirming)
 
-    def judge(self, answer, whole: bool) -> bool:
+    def process_answer(self, answer, whole: bool) -> bool:
         """Take what was answered; return whether all is known that the store told."""
         if isinstance(answer, HistoryLost):
             logs.event(log, "Changes were lost; reading anew.", table=self.table)
-            self.known_version = max(self.version, 0)
+            self.min_version = max(self.version, 0)
             self.version = -1
             return False
         if isinstance(answer, Unavailable):
-            self.note_failure(answer.reason)
+            self.record_failure(answer.reason)
             return False
-        return self.take(answer, whole)
+        return self.accept_answer(answer, whole)
 
-    def take(self, answer: Changes, whole: bool) -> bool:
+    def accept_answer(self, answer: Changes, whole: bool) -> bool:
         """Take an answer, unless it is older than what is known; return whether."""
-        if whole and answer.version < self.known_version:
-            self.refuse(answer)
+        if whole and answer.version < self.min_version:
+            self.reject_old_copy(answer)
             return False
         if self.failures:
             logs.event(log, "The store answers again.", table=self.table)
@@ -178,34 +184,34 @@
         if answer.version < self.version:
             # The store may serve an old copy; nothing steps back.
             return False
-        self.note_current(self.clock.monotonic() - answer.age)
-        self.accept(answer, whole)
+        self.record_current(self.clock.monotonic() - answer.age)
+        self.apply_answer(answer, whole)
         return True
 
-    def refuse(self, answer: Changes) -> None:
+    def reject_old_copy(self, answer: Changes) -> None:
         """Leave out a whole table from before changes were lost; it is asked again."""
         logs.event(
             log,
             "An old copy is refused.",
             table=self.table,
             version=answer.version,
-            known=self.known_version,
+            known=self.min_version,
         )
-        self.note_failure("an old copy")
+        self.record_failure("an old copy")
 
-    def note_current(self, at: float) -> None:
+    def record_current(self, at: float) -> None:
         """Take that the copy is known to be current at a time."""
         passed = at - self.current_at
-        if 0 < passed < HEARD_GAP:
-            self.heard += passed
+        if 0 < passed < MAX_FOLLOWED_GAP_S:
+            self.followed_seconds += passed
         # What others read before may come later; each second is heard once.
         self.current_at = max(at, self.current_at)
 
-    def accept(self, answer: Changes, whole: bool = False) -> None:
+    def apply_answer(self, answer: Changes, whole: bool = False) -> None:
         """Tell the rows of an answer, and remember how far it goes."""
         self.version = answer.version
-        if self.keep:
-            self.keep_rows(answer.rows, whole)
+        if self.keeps_rows:
+            self.store_rows(answer.rows, whole)
         rows = [row for row in answer.rows if row.readable]
         if whole:
             # Whoever read it, and when: the next changes confirm it, and soon.
@@ -217,7 +223,7 @@
             if not row.readable:
                 self.unreadable(row)
 
-    def keep_rows(self, rows: list[Row], whole: bool) -> None:
+    def store_rows(self, rows: list[Row], whole: bool) -> None:
         """Keep rows as they are told."""
         if whole:
             self.rows.clear()
@@ -226,21 +232,21 @@
             if row.value is None:
                 del self.rows[row.part, row.key]
 
-    def known(self) -> Changes:
+    def kept_table(self) -> Changes:
         """Return all rows that are kept, and the version up to which they go."""
         return Changes(list(self.rows.values()), self.version)
 
-    def learn(self, changes: Changes) -> bool:
+    def load_copy(self, changes: Changes) -> bool:
         """Take what a neighbour knows, unless something is known; return whether.
 
         Nor while changes are lost where it is older than what was known before.
         """
-        if self.version >= 0 or changes.version < self.known_version:
+        if self.version >= 0 or changes.version < self.min_version:
             return False
-        self.accept(changes, whole=True)
+        self.apply_answer(changes, whole=True)
         return True
 
-    def note_failure(self, reason: str) -> None:
+    def record_failure(self, reason: str) -> None:
         """Count a failure; the first of a row is logged."""
         self.failures += 1
         if self.failures == 1:
@@ -253,7 +259,7 @@
             )
 
 
-class Silences:
+class StaleRowDetector:
     """How long rows that are written again and again have not been written.
 
     Only time in which the table was told counts: else, after 61 s of an outage, each of
@@ -274,29 +280,29 @@
 
     def __init__(self, watch: Watch):
         self.watch = watch
-        self.told: dict[str, tuple[Row, float]] = {}
-        self.since = 0.0
+        self.last_seen: dict[str, tuple[Row, float]] = {}
+        self.valid_from = 0.0
 
-    def note(self, row: Row) -> None:
+    def record_row(self, row: Row) -> None:
         """Take a row; one that is read again as it was is no sign of life."""
-        known = self.told.get(row.key)
+        known = self.last_seen.get(row.key)
         if known is None or known[0].version != row.version:
-            self.told[row.key] = row, self.watch.heard
+            self.last_seen[row.key] = row, self.watch.followed_seconds
 
-    def drop(self, key: str) -> None:
+    def remove_row(self, key: str) -> None:
         """Take that a row is removed, or not known."""
-        self.told.pop(key, None)
+        self.last_seen.pop(key, None)
 
-    def restart(self) -> None:
+    def restart_timers(self) -> None:
         """Take that silence until now says nothing."""
-        self.since = self.watch.heard
+        self.valid_from = self.watch.followed_seconds
 
-    def longer_than(self, seconds: float) -> list[Row]:
+    def older_than(self, seconds: float) -> list[Row]:
         """Return the rows, as told last, that have been silent for longer."""
-        horizon = self.watch.heard - seconds
-        if self.since > horizon:
+        horizon = self.watch.followed_seconds - seconds
+        if self.valid_from > horizon:
             return []
-        return [row for row, at in self.told.values() if at < horizon]
+        return [row for row, at in self.last_seen.values() if at < horizon]
 
 
 def log_unreadable(row: Row) -> None:
@@ -304,7 +310,7 @@
     log.error("A row holds no JSON object: {}/{}", row.table, row.key)
 
 
-async def run_all(watches: list[Watch]) -> None:
+async def run_watches(watches: list[Watch]) -> None:
     """Run watches side by side until cancelled."""
     async with asyncio.TaskGroup() as group:
         for watch in watches:
--- a/history/faults.py
+++ b/history/faults.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from gypsumshift.fetch import FetchError
+from gypsumshift.httpclient import FetchError
 from history.workload import Recorder
 from standins.deployment import Deployment
 
--- a/history/mutants.py
+++ b/history/mutants.py
@@ -61,31 +61,31 @@
 
 def accept_short_bodies():
     """Take an answer that ends early for a whole one."""
-    from gypsumshift import fetch
+    from gypsumshift import httpclient
 
-    inner = fetch.Exchange.event
+    inner = httpclient.Exchange.next_event
 
     async def event(self):
         try:
             return await inner(self)
-        except fetch.FetchError:
-            return fetch.h11.EndOfMessage()
+        except httpclient.FetchError:
+            return httpclient.h11.EndOfMessage()
 
-    fetch.Exchange.event = event
+    httpclient.Exchange.next_event = event
 
 
 def lost_is_not_run():
     """Call every request whose fate is unknown "not run"."""
     from gypsumshift import callers
 
-    inner = callers.problem
+    inner = callers.problem_response
 
     def problem(status, outcome, detail, **members):
         if outcome == "unknown":
             return inner(503, "not run", detail, retry_after=1.0)
         return inner(status, outcome, detail, **members)
 
-    callers.problem = problem
+    callers.problem_response = problem
 
 
 def forget_keys():
--- a/history/workload.py
+++ b/history/workload.py
@@ -9,7 +9,7 @@
 import attrs
 
 from gypsumshift import Answered, AsyncClient, AsyncTrainer, NotRun
-from gypsumshift.fetch import FetchError
+from gypsumshift.httpclient import FetchError
 from standins.deployment import Deployment
 from standins.engine import echo
 from standins.trainer import StandinTrainer
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from gypsumshift.fetch import Fetcher, FetchError
+from gypsumshift.httpclient import Fetcher, FetchError
 from soak.proxy import Proxy
 from standins.users_documents import MODEL, settings_text
 from standins.users_worker import put_row
--- a/soak/workload.py
+++ b/soak/workload.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from gypsumshift.fetch import Fetcher, FetchError
+from gypsumshift.httpclient import Fetcher, FetchError
 from soak.deployment import FRONT, Deployment
 from soak.keys import Keys
 from soak.positions import Positions
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -24,7 +24,7 @@
 
 from gypsumshift import declarations
 from gypsumshift.declarations import Catalog
-from gypsumshift.fetch import Fetched, Fetcher, FetchError
+from gypsumshift.httpclient import FetchedResponse, Fetcher, FetchError
 
 HOST = "127.0.0.1"
 DEFAULT_FOLDER = pathlib.Path("examples/teranga-signes")
@@ -242,7 +242,7 @@
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
-        self.fetcher.close()
+        self.fetcher.close_idle()
         self.stack.close()
 
     # Faults
@@ -289,7 +289,7 @@
 
     async def operator(
         self, method: str, target: str, value: object = None, entry: int = 0
-    ) -> Fetched:
+    ) -> FetchedResponse:
         """Ask an entry's operator face."""
         body = json.dumps(value).encode() if value is not None else b""
         port = self.entries()[entry].ports["operator"]
@@ -319,7 +319,7 @@
                 log = (self.folder / f"{name}.log").read_text()
                 raise RuntimeError(f"{name} has ended: {log[-2000:]}")
 
-    async def apply(self, catalog: Catalog, message: str, base: int) -> Fetched:
+    async def apply(self, catalog: Catalog, message: str, base: int) -> FetchedResponse:
         """Apply declarations."""
         value = {
             "base": base,
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -16,8 +16,14 @@
 import typer
 
 from gypsumshift.addresses import parse_address
-from gypsumshift.fetch import Fetcher, FetchError
-from gypsumshift.server import Abandon, Request, Response, Server, json_response
+from gypsumshift.httpclient import Fetcher, FetchError
+from gypsumshift.httpserver import (
+    HttpServer,
+    Request,
+    Response,
+    ResponseAborted,
+    json_response,
+)
 from standins.cache import PrefixCache
 
 REPORT_PERIOD = 0.5
@@ -139,7 +145,7 @@
         self.swapping = asyncio.Lock()
         self.reported = (0, 0)
         self.fetcher = Fetcher()
-        self.server = Server(self.serve)
+        self.server = HttpServer(self.serve)
 
     async def run(self, host: str, port: int) -> None:
         """Serve until cancelled."""
@@ -279,7 +285,7 @@
                 token, version = await sequence.tokens.get()
                 last = sequence.made >= sequence.most and sequence.tokens.empty()
                 if sequence.breaks and sequence.made > sequence.most // 2:
-                    raise Abandon("told to break")
+                    raise ResponseAborted("told to break")
                 event = self.event(token, version, last, chat, sequence.ends)
                 if not sequence.told:
                     sequence.told = True
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -15,9 +15,9 @@
 import typer
 
 from gypsumshift import memory
+from gypsumshift.httpserver import HttpServer, Request, Response, json_response
 from gypsumshift.outcomes import Committed, Conflict, Missing
 from gypsumshift.platforms import Host, Write
-from gypsumshift.server import Request, Response, Server, json_response
 
 
 @attrs.define
@@ -65,7 +65,7 @@
         self.host_lag = host_lag
         self.hosts: list[tuple[float, Host]] = []
         self.counts = {"reads": 0, "writes": 0}
-        self.server = Server(self.serve)
+        self.server = HttpServer(self.serve)
 
     async def serve(self, request: Request) -> Response:
         """Answer one request."""
--- a/standins/service.py
+++ b/standins/service.py
@@ -13,7 +13,13 @@
 import attrs
 import typer
 
-from gypsumshift.server import Abandon, Request, Response, Server, json_response
+from gypsumshift.httpserver import (
+    HttpServer,
+    Request,
+    Response,
+    ResponseAborted,
+    json_response,
+)
 
 
 @attrs.define
@@ -68,7 +74,7 @@
         self.running = 0
         self.journal = open(journal, "a", buffering=1) if journal else None
         self.faults = Faults()
-        self.server = Server(self.serve)
+        self.server = HttpServer(self.serve)
 
     async def serve(self, request: Request) -> Response:
         """Answer one request."""
@@ -113,7 +119,7 @@
     async def cut(self):
         """Yield a part of an answer, then break."""
         yield b'{"service": '
-        raise Abandon("told to cut")
+        raise ResponseAborted("told to cut")
 
 
 async def serve(service: StandinService, host: str, port: int) -> None:
--- a/standins/users_cloud.py
+++ b/standins/users_cloud.py
@@ -12,7 +12,13 @@
 import attrs
 import typer
 
-from gypsumshift.server import Abandon, Request, Response, Server, json_response
+from gypsumshift.httpserver import (
+    HttpServer,
+    Request,
+    Response,
+    ResponseAborted,
+    json_response,
+)
 
 __all__ = ["Call", "Faults", "UsersCloud", "broken_promises"]
 
@@ -61,7 +67,7 @@
 
 async def cut():
     """Yield nothing: the connection is cut instead of an answer."""
-    raise Abandon("the answer is lost")
+    raise ResponseAborted("the answer is lost")
     yield b""
 
 
@@ -77,7 +83,7 @@
     def __init__(self):
         self.faults = Faults()
         self.calls: list[Call] = []
-        self.server = Server(self.serve)
+        self.server = HttpServer(self.serve)
 
     async def serve(self, request: Request) -> Response:
         """Answer one request."""
--- a/standins/users_store.py
+++ b/standins/users_store.py
@@ -15,11 +15,17 @@
 import attrs
 import typer
 
+from gypsumshift.httpserver import (
+    HttpServer,
+    Request,
+    Response,
+    ResponseAborted,
+    json_response,
+)
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import Committed, Missing
 from gypsumshift.platforms import HistoryLost, Row, Write
-from gypsumshift.server import Abandon, Request, Response, Server, json_response
-from gypsumshift.watch import POLL
+from gypsumshift.watch import MAX_FEED_WAIT
 
 __all__ = ["Faults", "UsersStore"]
 
@@ -57,7 +63,7 @@
 
 async def cut():
     """Yield nothing: the connection is cut instead of an answer."""
-    raise Abandon("the answer is lost")
+    raise ResponseAborted("the answer is lost")
     yield b""
 
 
@@ -74,7 +80,7 @@
         self.tables = MemoryTables()
         self.faults = Faults()
         self.chance = random.Random(seed)
-        self.server = Server(self.serve)
+        self.server = HttpServer(self.serve)
         self.late: set[asyncio.Task] = set()
 
     async def serve(self, request: Request) -> Response:
@@ -142,7 +148,7 @@
         """Return what changed in a table."""
         table, after = request.parameter("table"), int(request.parameter("after"))
         asked = float(request.parameter("wait_ms", "0")) / 1000
-        wait = min(datetime.timedelta(seconds=asked), POLL)
+        wait = min(datetime.timedelta(seconds=asked), MAX_FEED_WAIT)
         answer = await self.tables.changes(table, after, wait)
         if isinstance(answer, HistoryLost):
             return Response(410)
--- a/standins/users_worker.py
+++ b/standins/users_worker.py
@@ -16,8 +16,14 @@
 import typer
 
 from gypsumshift.addresses import parse_address
-from gypsumshift.fetch import Fetcher, FetchError
-from gypsumshift.server import Abandon, Request, Response, Server, json_response
+from gypsumshift.httpclient import Fetcher, FetchError
+from gypsumshift.httpserver import (
+    HttpServer,
+    Request,
+    Response,
+    ResponseAborted,
+    json_response,
+)
 
 __all__ = ["UsersWorker", "event_text", "plain_answer", "put_row"]
 
@@ -35,7 +41,7 @@
 
 async def lost():
     """Yield nothing: the connection is cut instead of an answer."""
-    raise Abandon("the answer is lost")
+    raise ResponseAborted("the answer is lost")
     yield b""
 
 
@@ -94,7 +100,7 @@
         self.loses_answers = False
         self.fatal = b""
         self.on_fatal: Callable[[], None] = lambda: os._exit(1)
-        self.server = Server(self.serve)
+        self.server = HttpServer(self.serve)
 
     def start_again(self) -> None:
         """Become another start under the same id, which knows nothing of before."""
@@ -206,11 +212,11 @@
                 if self.breaks and self.breaks[0] == number:
                     del self.breaks[0]
                     yield f"id: {number}\ndata: {text[:5]}".encode()
-                    raise Abandon("broken off")
+                    raise ResponseAborted("broken off")
                 yield f"{changed}id: {number}\ndata: {text}\n\n".encode()
             run["end"] = "whole"
         except GeneratorExit:
-            raise Abandon("the caller left") from None
+            raise ResponseAborted("the caller left") from None
         finally:
             self.running -= 1
 
--- a/tests/authorization_world.py
+++ b/tests/authorization_world.py
@@ -78,7 +78,7 @@
     async def refresh(self):
         """Have the host ask the store, until all is known and confirmed."""
         for _ in range(2):
-            await self.watch.step()
+            await self.watch.poll_once()
 
     async def authorize(self, key="k", **options):
         return await self.authorizer.authorize("r", key, **options)
--- a/tests/crash_fakes.py
+++ b/tests/crash_fakes.py
@@ -8,12 +8,12 @@
 
 import attrs
 
-from gypsumshift.fetch import FetchError
+from gypsumshift.httpclient import FetchError
+from gypsumshift.httpserver import Request
 from gypsumshift.memory import MemoryTables
 from gypsumshift.neighbours import Neighbour
 from gypsumshift.outcomes import Unavailable, Unknown
 from gypsumshift.platforms import WrappedStore
-from gypsumshift.server import Request
 from tests.job_builders import NAMES
 
 # Network delay in each direction.
@@ -176,13 +176,13 @@
         self.name = name
         self.cut_off = False
 
-    def connected(self, address):
+    def has_idle_connection(self, address):
         return self.world.worker(address).up
 
-    def cut(self, address):
+    def close_connections(self, address):
         """Do nothing, since there are no idle connections."""
 
-    async def refuses(self, address, timeout):
+    async def is_connection_refused(self, address, timeout):
         await self.reach(timeout)
         return not self.world.worker(address).up
 
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -11,8 +11,8 @@
 
 from gypsumshift.crashgossip import CrashGossip
 from gypsumshift.gateway import Gateway
+from gypsumshift.httpserver import ResponseAborted
 from gypsumshift.outcomes import Answered, Unknown
-from gypsumshift.server import Abandon
 from gypsumshift.serving import (
     BackendServer,
     Call,
@@ -250,7 +250,7 @@
             return outcome
         try:
             data = b"".join([data async for data in outcome.body])
-        except Abandon as reason:
+        except ResponseAborted as reason:
             return Unknown(str(reason))
         return Answered(outcome.status, (), data)
 
--- a/tests/job_builders.py
+++ b/tests/job_builders.py
@@ -46,7 +46,7 @@
     Target,
 )
 from gypsumshift.serving.crashguard import CrashGuard
-from gypsumshift.watch import run_all
+from gypsumshift.watch import run_watches
 
 NAMES = HeaderNames(
     request_id="request-id",
@@ -325,7 +325,7 @@
 
     def follow(self):
         """Let the job manager follow the store's changes, as a gateway does."""
-        self.tasks.append(asyncio.create_task(run_all(self.job_manager.watches)))
+        self.tasks.append(asyncio.create_task(run_watches(self.job_manager.watches)))
 
     async def close(self):
         for task in self.tasks:
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from gypsumshift.fetch import Fetcher
+from gypsumshift.httpclient import Fetcher
 from standins.deployment import free_port
 from standins.users_documents import HOST, config, results_target, settings_text
 from standins.users_store import UsersStore
--- a/tests/test_authorization.py
+++ b/tests/test_authorization.py
@@ -12,7 +12,7 @@
 from gypsumshift.outcomes import CannotTell
 from gypsumshift.platforms import Changes, HistoryLost
 from gypsumshift.serving.authorization import Grant, UnknownKey
-from gypsumshift.watch import POLL, POLL_SILENT
+from gypsumshift.watch import MAX_FEED_WAIT, MAX_FEED_WAIT_UNCONFIRMED
 from gypsumshift.workspaces import key_digest
 from tests import own_time
 from tests.authorization_world import AuthorizationWorld
@@ -89,7 +89,7 @@
         await world.write(one=["k"])
         await world.refresh()
         world.store.takes = 5.0
-        await world.watch.step()
+        await world.watch.poll_once()
         world.store.away = True
         assert isinstance(await world.authorize(), CannotTell)
 
@@ -164,7 +164,7 @@
         assert asked.is_set()
         assert asyncio.get_running_loop().time() - before < 0.2
         # Once it is known that the store does not answer, nobody is held up at all.
-        world.watch.note_failure("silent")
+        world.watch.record_failure("silent")
         asked.clear()
         assert isinstance(await world.authorize(), CannotTell)
         assert not asked.is_set()
@@ -202,7 +202,7 @@
 
         world.store.snapshot = snapshot
         world.store.away = True
-        await world.watch.step()
+        await world.watch.poll_once()
         assert world.watch.version == 1
         assert not world.freshness.keys_accepted
 
@@ -225,8 +225,12 @@
         await world.refresh()
         world.watch.version = -1
         for _ in range(3):
-            await world.watch.step()
-        assert waits == [POLL_SILENT, POLL_SILENT, POLL]
+            await world.watch.poll_once()
+        assert waits == [
+            MAX_FEED_WAIT_UNCONFIRMED,
+            MAX_FEED_WAIT_UNCONFIRMED,
+            MAX_FEED_WAIT,
+        ]
         assert world.freshness.keys_accepted
 
     play(scenario)
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from gypsumshift.bootstrap import KNOWN, Bootstrap
+from gypsumshift.bootstrap import KNOWN_TABLES_PATH, Bootstrap
 from gypsumshift.clock import SystemClock
-from gypsumshift.fetch import Fetcher
+from gypsumshift.httpclient import Fetcher
+from gypsumshift.httpserver import HttpServer, Response
 from gypsumshift.memory import MemoryTables
 from gypsumshift.neighbours import Neighbour, Relay, StorePath
 from gypsumshift.outcomes import Unavailable
 from gypsumshift.platforms import Changes, Row, Write
-from gypsumshift.server import Response, Server
 from gypsumshift.watch import Watch
 from standins.deployment import free_port
 from standins.users_documents import settings_text
@@ -23,7 +23,7 @@
 
 
 def kept_watch(store, told):
-    return Watch(store, TABLE, told.extend, told.extend, SystemClock(), keep=True)
+    return Watch(store, TABLE, told.extend, told.extend, SystemClock(), keeps_rows=True)
 
 
 def path(neighbours=()):
@@ -53,16 +53,16 @@
 
 async def serve(handler):
     """Have a handler answer; return the server and its address."""
-    server = Server(handler)
+    server = HttpServer(handler)
     return server, ("127.0.0.1", await server.listen("127.0.0.1", 0))
 
 
 async def neighbour(name, store):
     """Start a process that knows what is in a store."""
     watch = kept_watch(store, [])
-    await watch.step()
+    await watch.poll_once()
     bootstrap = Bootstrap([watch], path(), SystemClock())
-    relay = Relay(bootstrap.path, {KNOWN: bootstrap.serve})
+    relay = Relay(bootstrap.path, {KNOWN_TABLES_PATH: bootstrap.serve})
     server, address = await serve(relay.serve)
     return server, Neighbour(name, address, "here")
 
@@ -79,16 +79,16 @@
         told = []
         watch = kept_watch(store, told)
         bootstrap = Bootstrap([watch], path([old, new]), SystemClock())
-        await watch.step()
+        await watch.poll_once()
         assert watch.version < 0
         await asyncio.wait_for(bootstrap.run(), 10)
         assert {row.key: row.value["v"] for row in told} == {"a": 2, "b": 1}
         assert watch.current_at == float("-inf"), "nobody said that this is current"
         store.away = False
         await store.commit([Write(TABLE, "b", None)])
-        await watch.step()
+        await watch.poll_once()
         assert told[-1].key == "b" and told[-1].value is None
-        assert [row.key for row in watch.known().rows] == ["a"]
+        assert [row.key for row in watch.kept_table().rows] == ["a"]
         for server in (old_server, new_server):
             await server.stop(0)
 
@@ -97,9 +97,9 @@
 
 def test_nothing_known_is_replaced_by_what_a_neighbour_knows():
     watch = kept_watch(None, [])
-    assert watch.learn(Changes([Row(TABLE, "a", 3, {"v": 3})], 3))
-    assert not watch.learn(Changes([Row(TABLE, "a", 9, {"v": 9})], 9))
-    assert watch.known().version == 3
+    assert watch.load_copy(Changes([Row(TABLE, "a", 3, {"v": 3})], 3))
+    assert not watch.load_copy(Changes([Row(TABLE, "a", 9, {"v": 9})], 9))
+    assert watch.kept_table().version == 3
 
 
 @pytest.mark.parametrize(
@@ -112,7 +112,7 @@
 
         server, address = await serve(answer)
         bootstrap = Bootstrap([], path(), SystemClock())
-        assert await bootstrap.ask(Neighbour("foreign", address)) == {}
+        assert await bootstrap.request_tables(Neighbour("foreign", address)) == {}
         await server.stop(0)
 
     asyncio.run(run())
--- a/tests/test_broken_connections.py
+++ b/tests/test_broken_connections.py
@@ -6,7 +6,7 @@
 import attrs
 
 from gypsumshift.clock import SystemClock
-from gypsumshift.fetch import Fetcher
+from gypsumshift.httpclient import Fetcher
 from gypsumshift.serving import BackendServer, Directory
 from gypsumshift.serving.calls import Call, Failed
 from gypsumshift.serving.loadbalancer import LoadBalancer
@@ -66,7 +66,7 @@
         try:
             await scenario(sender, server, peer)
         finally:
-            fetcher.close()
+            fetcher.close_idle()
             peer.listener.close()
 
     asyncio.run(asyncio.wait_for(run(), 20))
@@ -102,7 +102,7 @@
 def test_the_connection_that_found_it_there_serves_the_next_request():
     async def scenario(sender, server, peer):
         await attempt(sender, server, b"break")
-        assert sender.fetcher.connected(server.address)
+        assert sender.fetcher.has_idle_connection(server.address)
         assert (await attempt(sender, server, b"well")).status == 200
 
     play(scenario)
--- a/tests/test_crashgossip.py
+++ b/tests/test_crashgossip.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from gypsumshift.crashgossip import MAX_PER_MESSAGE, CrashGossip, decode, encode
+from gypsumshift.httpserver import Request
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import Unavailable
 from gypsumshift.platforms import Row
-from gypsumshift.server import Request
 from gypsumshift.serving.crashtable import REPORT_WRITE_DELAYS_S, CrashTable
 from gypsumshift.serving.directory import ServerStart
 from gypsumshift.serving.quarantine import (
--- a/tests/test_fatal_dispatch.py
+++ b/tests/test_fatal_dispatch.py
@@ -9,7 +9,7 @@
 import json
 
 from gypsumshift import Group
-from gypsumshift.fetch import Fetcher
+from gypsumshift.httpclient import Fetcher
 from gypsumshift.serving.quarantine import CRASH_LIMIT, TRIAL_DELAYS_S
 from tests import system
 from tests.builders import ManualClock
@@ -53,7 +53,7 @@
         target = "/w/services/shop/items/1"
         return await fetcher.fetch(entry.front_address, "PUT", target, [], body, 10.0)
     finally:
-        fetcher.close()
+        fetcher.close_idle()
 
 
 def test_a_fatal_request_crashes_three_servers_and_is_then_refused():
--- a/tests/test_fatal_items.py
+++ b/tests/test_fatal_items.py
@@ -25,7 +25,7 @@
     TRIAL_DELAYS_S,
 )
 from gypsumshift.serving.trialclaims import CRASHES_TABLE
-from gypsumshift.watch import run_all
+from gypsumshift.watch import run_watches
 from tests import job_builders as jw
 from tests import own_time
 
@@ -46,7 +46,7 @@
         self.up = True
         self.crashed = asyncio.Event()
 
-    async def refuses(self, address, timeout):
+    async def is_connection_refused(self, address, timeout):
         return not self.up
 
     async def fetch_report(self, server):
@@ -114,7 +114,7 @@
         agent = self.agent(name, engine, forwarder=forwarder, clock=self.clock)
         table = jw.routes(version=2, retention=retention)
         agent.local_engine.directory.set_routes(table)
-        self.start_task(run_all([guard.table.watch]))
+        self.start_task(run_watches([guard.table.watch]))
         self.start_task(guard.run())
 
     def start_task(self, work):
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -4,7 +4,13 @@
 import random
 
 from gypsumshift.clock import SystemClock
-from gypsumshift.hedging import COPIES, WAIT_LEAST, WAIT_MOST, AnswerTime, HedgedStore
+from gypsumshift.hedging import (
+    MAX_COPIES,
+    MAX_HEDGE_DELAY_S,
+    MIN_HEDGE_DELAY_S,
+    AverageAnswerTime,
+    HedgedStore,
+)
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import Committed, Conflict, Unavailable, Unknown
 from gypsumshift.platforms import ABSENT, Write
@@ -70,9 +76,9 @@
 
 def test_what_no_copy_settled_is_said_to_be_unknown():
     async def scenario():
-        store, inner = hedged([True] * COPIES)
+        store, inner = hedged([True] * MAX_COPIES)
         assert isinstance(await store.commit(claim()), Unknown)
-        assert inner.calls == COPIES
+        assert inner.calls == MAX_COPIES
 
     asyncio.run(scenario())
 
@@ -99,12 +105,12 @@
 
 
 def test_a_store_that_is_slow_for_all_is_given_its_time():
-    answers = AnswerTime()
-    answers.note(0.006)
-    assert answers.patience() == WAIT_LEAST
+    answers = AverageAnswerTime()
+    answers.record(0.006)
+    assert answers.hedge_delay() == MIN_HEDGE_DELAY_S
     for _ in range(8):
-        answers.note(0.3)
-    assert answers.patience() == WAIT_MOST
+        answers.record(0.3)
+    assert answers.hedge_delay() == MAX_HEDGE_DELAY_S
 
 
 def test_a_step_ends_while_half_of_the_answers_are_lost():
--- a/tests/test_key_commands.py
+++ b/tests/test_key_commands.py
@@ -9,7 +9,7 @@
 from gypsumshift import declarations
 from gypsumshift.cli import app
 from gypsumshift.client import AsyncClient
-from gypsumshift.fetch import Fetcher
+from gypsumshift.httpclient import Fetcher
 from gypsumshift.outcomes import Invalid
 from gypsumshift.workspaces import key_digest
 from tests.system import HOST, SOURCE, System
--- a/tests/test_labels.py
+++ b/tests/test_labels.py
@@ -3,8 +3,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from gypsumshift.backendrequest import StreamVersionReader
 from gypsumshift.dialects import DIALECTS
-from gypsumshift.exchange import StreamReader
 from gypsumshift.labels import Labeller
 
 PIECES = st.lists(st.tuples(st.integers(0, 3), st.one_of(st.none(), st.integers(1, 3))))
@@ -49,7 +49,7 @@
         + b' "metadata": {"weight_version": "%d"}}\n\n' % (1 + number // 2)
         for number in range(4)
     )
-    reader = StreamReader(DIALECTS["sglang"], Labeller(None))
+    reader = StreamVersionReader(DIALECTS["sglang"], Labeller(None))
     for start in range(0, len(data), cut):
         reader.feed(data[start : start + cut])
     spans = [(s.first, s.last, s.version) for s in reader.spans(None)]
--- a/tests/test_late_machine.py
+++ b/tests/test_late_machine.py
@@ -18,7 +18,7 @@
 from gypsumshift.outcomes import Unavailable, Unknown
 from gypsumshift.platforms import WrappedStore
 from gypsumshift.serving import Directory
-from gypsumshift.watch import run_all
+from gypsumshift.watch import run_watches
 from tests import job_builders as jw
 from tests.own_time import LoopClock, OwnTime
 
@@ -146,7 +146,7 @@
         await asyncio.sleep(self.chance.uniform(0.0, 0.5))
 
     async def play(self):
-        self.tasks.append(asyncio.create_task(run_all(self.desks[0].watches)))
+        self.tasks.append(asyncio.create_task(run_watches(self.desks[0].watches)))
         for name in "ab":
             self.start(name)
         for name in ("one", "two"):
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -5,8 +5,8 @@
 
 import pytest
 
+from gypsumshift.httpserver import HttpServer
 from gypsumshift.links import PeerServer
-from gypsumshift.server import Server
 from tests.builders import recorder
 
 
@@ -16,7 +16,7 @@
 
 
 def new_http():
-    server = Server(None)
+    server = HttpServer(None)
     return server, lambda: server.stop(0)
 
 
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -30,7 +30,7 @@
 from tests.job_builders import JobCluster as JobsWorld
 from tests.system import until
 from tests.test_agent import scenario as jobs_scenario
-from tests.test_neighbours import NOBODY, call, fail_twice, scenario
+from tests.test_neighbours import UNREACHABLE, call_store, fail_twice, scenario
 
 # Transactions a second that one part of the store takes.
 PART_RATE = 200
@@ -62,7 +62,7 @@
 async def test_a_probe_succeeds_only_for_the_session_that_runs(world):
     store = await world.serve(world.store)
     path = world.path(store)
-    await call(path)
+    await call_store(path)
     answering = HttpLivenessProbe(path)
     answering.session = "now"
     address = await world.serve(Relay(path, {LIVENESS_PATH: answering.serve}).serve)
@@ -74,18 +74,22 @@
 
 @scenario
 async def test_a_probe_fails_if_the_agent_cannot_store_results(world):
-    path = world.path(NOBODY)
+    path = world.path(UNREACHABLE)
     await fail_twice(path)
     answering = HttpLivenessProbe(path)
     answering.session = "now"
     address = await world.serve(Relay(path, {LIVENESS_PATH: answering.serve}).serve)
-    asking = HttpLivenessProbe(world.path(NOBODY, [Neighbour("a", address, "here")]))
+    asking = HttpLivenessProbe(
+        world.path(UNREACHABLE, [Neighbour("a", address, "here")])
+    )
     assert not await asking.is_alive(Claim("a", "now"))
 
 
 @scenario
 async def test_a_probe_of_an_unreachable_host_fails(world):
-    asking = HttpLivenessProbe(world.path(NOBODY, [Neighbour("a", NOBODY, "here")]))
+    asking = HttpLivenessProbe(
+        world.path(UNREACHABLE, [Neighbour("a", UNREACHABLE, "here")])
+    )
     assert not await asking.is_alive(Claim("a", "now"))
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -5,7 +5,7 @@
 import json
 
 from gypsumshift.entry import Entry
-from gypsumshift.fetch import Fetcher
+from gypsumshift.httpclient import Fetcher
 from gypsumshift.members import View
 from gypsumshift.outcomes import Answered, NotRun, Unknown
 from gypsumshift.platforms import Host
--- a/tests/test_neighbourhood.py
+++ b/tests/test_neighbour_registry.py
@@ -9,16 +9,16 @@
 import pytest
 
 from gypsumshift.neighbours import (
-    ANNOUNCE_PERIOD,
-    FORGOTTEN,
-    NEIGHBOURS,
+    ANNOUNCE_PERIOD_S,
+    ENTRY_TIMEOUT_S,
+    NEIGHBOURS_TABLE,
     Neighbour,
-    Neighbourhood,
+    NeighbourRegistry,
     StorePath,
 )
 from gypsumshift.outcomes import Unavailable
 from gypsumshift.platforms import Write
-from gypsumshift.watch import POLL, Watch
+from gypsumshift.watch import MAX_FEED_WAIT, Watch
 from tests.builders import FaultyTables, ManualClock
 
 NOBODY = ("127.0.0.1", 1)
@@ -46,7 +46,7 @@
         return await super().commit(writes)
 
     async def names(self):
-        return [row.key for row in await self.scan(NEIGHBOURS, "")]
+        return [row.key for row in await self.scan(NEIGHBOURS_TABLE, "")]
 
 
 class Fleet:
@@ -60,7 +60,7 @@
     def hood(self, name):
         path = StorePath(NOBODY, None, self.clock, random.Random(1), "here", [])
         own = Neighbour(name, NOBODY, "here")
-        return Neighbourhood(own, path, self.store, self.clock)
+        return NeighbourRegistry(own, path, self.store, self.clock)
 
     async def start(self):
         for hood in self.hoods.values():
@@ -70,13 +70,13 @@
 
     async def hear(self):
         for hood in self.hoods.values():
-            await hood.watch.step()
+            await hood.watch.poll_once()
 
     async def listen(self, hood, seconds):
         """Have one process hear the table all the time."""
-        for _ in range(math.ceil(seconds / POLL.total_seconds())):
-            self.clock.advance(POLL.total_seconds())
-            await hood.watch.step()
+        for _ in range(math.ceil(seconds / MAX_FEED_WAIT.total_seconds())):
+            self.clock.advance(MAX_FEED_WAIT.total_seconds())
+            await hood.watch.poll_once()
 
 
 def played(play, count):
@@ -95,12 +95,12 @@
         hood, other = fleet.hoods[name], ({*fleet.hoods} - {name}).pop()
         assert isinstance(hood.watch, Watch)
         assert set(hood.path.neighbours) == {other}
-        await fleet.listen(hood, FORGOTTEN - 1)
+        await fleet.listen(hood, ENTRY_TIMEOUT_S - 1)
         await hood.announce()
         assert len(await fleet.store.names()) == 2, "not before its time"
         await fleet.listen(hood, 2)
         await hood.announce()
-        await hood.watch.step()
+        await hood.watch.poll_once()
         assert not hood.path.neighbours
         assert await fleet.store.names() == [name]
 
@@ -118,10 +118,10 @@
 
     async def play(fleet):
         first, *_ = await fleet.start()
-        fleet.clock.advance(FORGOTTEN + 1)
+        fleet.clock.advance(ENTRY_TIMEOUT_S + 1)
         await first.announce()
         assert await fleet.store.names() == list(fleet.hoods)
-        await fleet.listen(first, FORGOTTEN / 2)
+        await fleet.listen(first, ENTRY_TIMEOUT_S / 2)
         await first.announce()
         assert await fleet.store.names() == list(fleet.hoods)
 
@@ -140,7 +140,7 @@
         first, *_ = await fleet.start()
         fleet.store.down = True
         for _ in range(5):
-            await fleet.listen(first, ANNOUNCE_PERIOD)
+            await fleet.listen(first, ANNOUNCE_PERIOD_S)
             await first.announce()
         fleet.store.down = False
         await first.announce()
@@ -159,11 +159,11 @@
 
     async def play(fleet):
         first, second = await fleet.start()
-        await fleet.listen(first, FORGOTTEN + 1)
+        await fleet.listen(first, ENTRY_TIMEOUT_S + 1)
         await second.announce()
         await first.announce()
         assert await fleet.store.names() == list(fleet.hoods)
-        await first.watch.step()
+        await first.watch.poll_once()
         await first.announce()
         assert await fleet.store.names() == list(fleet.hoods)
 
@@ -180,14 +180,14 @@
 
     async def play(fleet):
         first, *_ = await fleet.start()
-        before = (await fleet.store.read(NEIGHBOURS, first.own.name)).version
-        await fleet.listen(first, FORGOTTEN + 1)
+        before = (await fleet.store.read(NEIGHBOURS_TABLE, first.own.name)).version
+        await fleet.listen(first, ENTRY_TIMEOUT_S + 1)
         for _ in range(20):
             await first.announce()
-            after = (await fleet.store.read(NEIGHBOURS, first.own.name)).version
+            after = (await fleet.store.read(NEIGHBOURS_TABLE, first.own.name)).version
             assert after > before, "it announced itself"
             before = after
-            await fleet.listen(first, ANNOUNCE_PERIOD)
+            await fleet.listen(first, ANNOUNCE_PERIOD_S)
         assert await fleet.store.names() == [first.own.name]
         assert fleet.store.refused == 0
 
@@ -205,12 +205,12 @@
 
     async def play(fleet):
         first, gone, silent = await fleet.start()
-        await fleet.store.commit([Write(NEIGHBOURS, gone.own.name, None)])
+        await fleet.store.commit([Write(NEIGHBOURS_TABLE, gone.own.name, None)])
         fleet.store.forget()
-        await first.watch.step()
-        await first.watch.step()
+        await first.watch.poll_once()
+        await first.watch.poll_once()
         assert set(first.path.neighbours) == {silent.own.name}
-        await fleet.listen(first, FORGOTTEN + 1)
+        await fleet.listen(first, ENTRY_TIMEOUT_S + 1)
         await first.announce()
         assert await fleet.store.names() == [first.own.name]
 
@@ -223,7 +223,7 @@
     async def play(fleet):
         first, _ = await fleet.start()
         for _ in range(3):
-            await fleet.listen(first, FORGOTTEN / 2)
+            await fleet.listen(first, ENTRY_TIMEOUT_S / 2)
             await fleet.store.commit([Write("other", "row", {})])
             fleet.store.forget()
             await fleet.listen(first, 1)
@@ -244,11 +244,13 @@
 
     async def play(fleet):
         first, foreign, _ = await fleet.start()
-        await fleet.store.commit([Write(NEIGHBOURS, foreign.own.name, {"zone": 1})])
+        await fleet.store.commit(
+            [Write(NEIGHBOURS_TABLE, foreign.own.name, {"zone": 1})]
+        )
         if not readable:
             bare = attrs.evolve(fleet.store.history[-1], value=None, readable=False)
             fleet.store.history[-1] = bare
-        await fleet.listen(first, FORGOTTEN + 1)
+        await fleet.listen(first, ENTRY_TIMEOUT_S + 1)
         await first.announce()
         assert await fleet.store.names() == [first.own.name, foreign.own.name]
 
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -4,16 +4,16 @@
 import random
 
 from gypsumshift.clock import SystemClock
-from gypsumshift.fetch import Fetcher, FetchError
+from gypsumshift.httpclient import Fetcher, FetchError
+from gypsumshift.httpserver import HttpServer, Response, ResponseAborted
 from gypsumshift.neighbours import (
     Neighbour,
     Relay,
     StorePath,
 )
-from gypsumshift.server import Abandon, Response, Server
 from tests.system import until
 
-NOBODY = ("127.0.0.1", 1)
+UNREACHABLE = ("127.0.0.1", 1)
 
 
 def scenario(test):
@@ -21,7 +21,7 @@
 
     def run():
         async def inside():
-            world = World()
+            world = StoreWorld()
             try:
                 await test(world)
             finally:
@@ -33,7 +33,7 @@
     return run
 
 
-class World:
+class StoreWorld:
     """A store that answers some, and processes around it."""
 
     def __init__(self):
@@ -44,7 +44,7 @@
 
     async def serve(self, handler):
         """Have a handler answer; return its address."""
-        server = Server(handler)
+        server = HttpServer(handler)
         port = await server.listen("127.0.0.1", 0)
         self.servers.append(server)
         return ("127.0.0.1", port)
@@ -62,7 +62,7 @@
         """Start a process that the store at this address answers, or not."""
         path = self.path(store)
         address = await self.serve(Relay(path).serve)
-        await call(path)
+        await call_store(path)
         return Neighbour(name, address, zone)
 
     async def close(self):
@@ -70,7 +70,7 @@
             await server.stop(0)
 
 
-async def call(path, method="GET", body=b""):
+async def call_store(path, method="GET", body=b""):
     """Call the store; return status, or the error."""
     try:
         answer = await path.fetch(method, "/rows?a=b", [], body, 1.0)
@@ -81,14 +81,14 @@
 
 async def fail_twice(path):
     for _ in range(2):
-        assert isinstance(await call(path), FetchError)
+        assert isinstance(await call_store(path), FetchError)
 
 
 async def helped(world, answer):
     """Cut a process off from a store that answers so; return both once it is helped."""
     store = await world.serve(answer)
     helper = await world.neighbour("helper", store)
-    path = world.path(NOBODY, [helper])
+    path = world.path(UNREACHABLE, [helper])
     await fail_twice(path)
     await until(lambda: path.via == helper)
     return store, path
@@ -97,11 +97,11 @@
 @scenario
 async def test_a_cut_process_is_helped_until_the_store_answers_it_again(world):
     store, path = await helped(world, world.store)
-    assert await call(path, "POST", b"row") == 200
+    assert await call_store(path, "POST", b"row") == 200
     assert world.calls[-1] == ("POST", "/rows?a=b", b"row")
     path.store = store
     await until(lambda: path.via is None)
-    assert await call(path) == 200
+    assert await call_store(path) == 200
 
 
 @scenario
@@ -112,9 +112,9 @@
     store = await world.serve(world.store)
     helper = await world.neighbour("helper", store)
     path = world.path(await world.serve(turn_away), [helper])
-    assert [await call(path), await call(path)] == [503, 503]
+    assert [await call_store(path), await call_store(path)] == [503, 503]
     await until(lambda: path.via == helper)
-    assert await call(path) == 200
+    assert await call_store(path) == 200
 
 
 @scenario
@@ -122,7 +122,7 @@
     store = await world.serve(world.store)
     far = [await world.neighbour(f"far{n}", store, "there") for n in range(3)]
     near = await world.neighbour("near", store)
-    path = world.path(NOBODY, [*far, near])
+    path = world.path(UNREACHABLE, [*far, near])
     await fail_twice(path)
     await until(lambda: path.via is not None)
     assert path.via == near
@@ -131,42 +131,42 @@
 @scenario
 async def test_another_zone_helps_where_the_own_zone_is_cut_off(world):
     """With the own zone alone first, three of its four were asked each time."""
-    near = [await world.neighbour(f"near{n}", NOBODY) for n in range(4)]
+    near = [await world.neighbour(f"near{n}", UNREACHABLE) for n in range(4)]
     store = await world.serve(world.store)
     far = await world.neighbour("far", store, "there")
-    path = world.path(NOBODY, [*near, far])
+    path = world.path(UNREACHABLE, [*near, far])
     await fail_twice(path)
     await until(lambda: path.via is not None)
     assert path.via == far
 
 
 def test_three_neighbours_are_asked_wherever_they_are():
-    path = StorePath(NOBODY, None, None, random.Random(1), "here", [])
+    path = StorePath(UNREACHABLE, None, None, random.Random(1), "here", [])
     for near, far in ((0, 5), (1, 5), (5, 0), (5, 5), (2, 1)):
         zones = ["here"] * near + ["there"] * far
         path.neighbours = {
-            str(n): Neighbour(str(n), NOBODY, zone) for n, zone in enumerate(zones)
+            str(n): Neighbour(str(n), UNREACHABLE, zone) for n, zone in enumerate(zones)
         }
-        asked = path.candidates()
+        asked = path.choose_neighbours()
         assert len({n.name for n in asked}) == 3
         assert [n.zone for n in asked] == sorted(n.zone for n in asked)
 
 
 @scenario
 async def test_nobody_helps_where_the_store_answers_nobody(world):
-    other = await world.neighbour("other", NOBODY)
-    path = world.path(NOBODY, [other])
+    other = await world.neighbour("other", UNREACHABLE)
+    path = world.path(UNREACHABLE, [other])
     await fail_twice(path)
-    await until(lambda: path.seeking.done())
+    await until(lambda: path.search_task.done())
     assert path.via is None
-    assert isinstance(await call(path), FetchError)
+    assert isinstance(await call_store(path), FetchError)
 
 
 @scenario
 async def test_a_neighbour_that_goes_is_left(world):
     _, path = await helped(world, world.store)
     await world.servers.pop().stop(0)
-    assert isinstance(await call(path), FetchError)
+    assert isinstance(await call_store(path), FetchError)
     assert path.via is None
 
 
@@ -178,11 +178,11 @@
         return Response(200, [], cut())
 
     async def cut():
-        raise Abandon("lost")
+        raise ResponseAborted("lost")
         yield b""
 
     _, path = await helped(world, lose)
-    error = await call(path, "POST", b"row")
+    error = await call_store(path, "POST", b"row")
     assert isinstance(error, FetchError)
     assert error.sent, "it may have been written"
 
@@ -192,6 +192,6 @@
     _, path = await helped(world, world.store)
     for server in world.servers[:1]:
         await server.stop(0)
-    world.fetcher.close()
-    assert await call(path, "POST", b"row") == 503
+    world.fetcher.close_idle()
+    assert await call_store(path, "POST", b"row") == 503
     assert path.via is None
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from gypsumshift.fetch import FetchError
+from gypsumshift.httpclient import FetchError
 from gypsumshift.neighbours import StorePath
 from standins.users_documents import config, job_body, route, settings_text
 from standins.users_store import RAW, Faults
--- a/tests/test_platform_keys.py
+++ b/tests/test_platform_keys.py
@@ -181,7 +181,7 @@
         store = world.gateway.store
         row = await store.read("op", "config")
         snapshot = await store.snapshot("op")
-        kept = [w.known() for w in world.gateway.directory_watches]
+        kept = [w.kept_table() for w in world.gateway.directory_watches]
         held = repr([row, snapshot, kept, vars(world.gateway.directory.routes)])
         assert "key-one" not in held and "two" in held
 
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -6,11 +6,11 @@
 import pytest
 
 from gypsumshift.entry import Entry
-from gypsumshift.fetch import Fetcher
 from gypsumshift.frames import FRAME_LIMIT, LENGTH, encode
 from gypsumshift.generated.messages import Body, Frame, Heartbeat, Member, Start
 from gypsumshift.generated.settings import Settings
-from gypsumshift.server import BODY_LIMIT, HEADER_LIMIT
+from gypsumshift.httpclient import Fetcher
+from gypsumshift.httpserver import MAX_BODY_BYTES, MAX_HEADER_BYTES
 
 from . import builders
 
@@ -55,7 +55,7 @@
     "garbage": (b"\x00\xff\x13garbage\r\n\r\n" * 4, 400),
     "not http": (b"SSH-2.0-OpenSSH_9.2\r\n\r\n", 400),
     "oversized header": (
-        b"GET / HTTP/1.1\r\nhost: a\r\nx: " + b"a" * (HEADER_LIMIT + 1000),
+        b"GET / HTTP/1.1\r\nhost: a\r\nx: " + b"a" * (MAX_HEADER_BYTES + 1000),
         431,
     ),
     "two lengths": (
@@ -84,9 +84,9 @@
     async def work(entry):
         head = (
             b"POST /w/v1/completions HTTP/1.1\r\nhost: a\r\n"
-            b"content-length: %d\r\n\r\n" % (BODY_LIMIT * 4)
+            b"content-length: %d\r\n\r\n" % (MAX_BODY_BYTES * 4)
         )
-        data = head + b"x" * (BODY_LIMIT + 100_000)
+        data = head + b"x" * (MAX_BODY_BYTES + 100_000)
         answer = await send_raw(entry.front_address, data)
         assert answer.startswith(b"HTTP/1.1 413 ") or answer == b""
         health = await Fetcher().fetch(entry.front_address, "GET", "/health")
@@ -110,7 +110,7 @@
 
 
 def test_a_slow_sender_is_cut(monkeypatch):
-    monkeypatch.setattr("gypsumshift.server.IDLE_TIMEOUT", 0.05)
+    monkeypatch.setattr("gypsumshift.httpserver.IDLE_TIMEOUT_S", 0.05)
 
     async def work(entry):
         assert await send_raw(entry.front_address, b"GET / HT") == b""
--- a/tests/test_revocations.py
+++ b/tests/test_revocations.py
@@ -45,7 +45,7 @@
 
     @rule()
     def hear(self):
-        self.do(self.world.watch.step())
+        self.do(self.world.watch.poll_once())
 
     @rule()
     def take_away(self):
--- a/tests/test_samples.py
+++ b/tests/test_samples.py
@@ -4,9 +4,9 @@
 import json
 
 from gypsumshift import Group
-from gypsumshift.fetch import Fetcher
 from gypsumshift.generated import messages
 from gypsumshift.generated.messages import Body
+from gypsumshift.httpclient import Fetcher
 from gypsumshift.outcomes import Missing
 from standins.engine import TOKENS_PER_VERSION
 
--- a/tests/test_server_entry.py
+++ b/tests/test_server_entry.py
@@ -45,7 +45,7 @@
         for number, (key, data) in enumerate(rows, 1)
     ]
     decoded = [row_store.decode(row) for row in raw]
-    feed.servers.accept(Changes(decoded, feed.servers.version + len(rows)))
+    feed.servers.apply_answer(Changes(decoded, feed.servers.version + len(rows)))
 
 
 def encoded(value):
--- a/tests/test_server_restart.py
+++ b/tests/test_server_restart.py
@@ -6,7 +6,7 @@
 import attrs
 import pytest
 
-from gypsumshift.fetch import Fetcher, FetchError
+from gypsumshift.httpclient import Fetcher, FetchError
 from gypsumshift.jobs.engine import EngineReport
 from gypsumshift.jobs.localengine import AgentIdentity, LocalEngine
 from gypsumshift.serving import BackendServer, Directory
@@ -149,16 +149,16 @@
             asyncio.create_task(fetcher.open(address, "GET", "/", [], fresh=fresh))
             for fresh in (False, True)
         ]
-        while len(fetcher.used.get(address, ())) < 2:
+        while len(fetcher.in_use.get(address, ())) < 2:
             await asyncio.sleep(0.01)
-        fetcher.cut(address)
+        fetcher.close_connections(address)
         with pytest.raises(FetchError):
             await runs[0]
         assert not runs[1].done()
-        assert len(fetcher.used[address]) == 1
+        assert len(fetcher.in_use[address]) == 1
         runs[1].cancel()
         await asyncio.gather(*runs, return_exceptions=True)
-        assert not fetcher.used
+        assert not fetcher.in_use
         listener.close()
 
     asyncio.run(asyncio.wait_for(scenario(), 20))
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -365,7 +365,7 @@
         await accounting.duty.acting.acquire()
         stopping = asyncio.create_task(world.gateway.drain(0.2))
         await asyncio.sleep(0)
-        assert all(port.server.leaving for port in world.gateway.ports[:1])
+        assert all(port.server.draining for port in world.gateway.ports[:1])
         await stopping
         assert accounting.duty.leaving
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -7,10 +7,10 @@
 
 from gypsumshift.jobs.heartbeatwriter import HEARTBEAT_PERIOD
 from gypsumshift.memory import MemoryTables
-from gypsumshift.neighbours import GATHER as NEIGHBOURS_GATHER
+from gypsumshift.neighbours import NEIGHBOURS_BATCH_INTERVAL_S as NEIGHBOURS_GATHER
 from gypsumshift.platforms import Changes, Row, Write
 from gypsumshift.serving import Directory
-from gypsumshift.watch import GATHER, HEARD_GAP, POLL, Watch
+from gypsumshift.watch import BATCH_INTERVAL_S, MAX_FEED_WAIT, MAX_FOLLOWED_GAP_S, Watch
 from tests.builders import ManualClock
 from tests.job_builders import JobCluster
 from tests.platform_world import FOLDER
@@ -51,7 +51,12 @@
         clock = ManualClock()
         store = Busy(clock)
         watch = Watch(
-            store, TABLE, lambda rows: None, lambda rows: None, clock, gather=gather
+            store,
+            TABLE,
+            lambda rows: None,
+            lambda rows: None,
+            clock,
+            batch_interval=gather,
         )
         following = asyncio.create_task(watch.run())
         end = clock.monotonic() + 10
@@ -65,7 +70,7 @@
 
 def test_a_table_that_changes_all_the_time_costs_few_calls_and_no_change():
     """Its followers asked 19 times a second each; 4 times with a quarter second."""
-    often, seldom = followed(GATHER), followed(0.25)
+    often, seldom = followed(BATCH_INTERVAL_S), followed(0.25)
     assert often.calls > 180
     assert seldom.calls < 42
     assert seldom.told > 480, "all changes of ten seconds but for the last ones"
@@ -76,8 +81,10 @@
     from documents import SERVERS_GATHER, DirectoryFeed
 
     feed = DirectoryFeed(Directory(), MemoryTables(), ManualClock())
-    assert feed.servers.gather == SERVERS_GATHER <= LEAVING / 4
-    assert feed.operator.gather == GATHER, "a configuration is in force at once"
+    assert feed.servers.batch_interval == SERVERS_GATHER <= LEAVING / 4
+    assert feed.operator.batch_interval == BATCH_INTERVAL_S, (
+        "a configuration is in force at once"
+    )
 
 
 @scenario
@@ -85,8 +92,8 @@
     world: JobCluster,
 ):
     agent = world.agent("a")
-    gathers = {watch.table: watch.gather for watch in agent.watches}
-    assert gathers["claims"] == gathers["jobs"] == GATHER
+    gathers = {watch.table: watch.batch_interval for watch in agent.watches}
+    assert gathers["claims"] == gathers["jobs"] == BATCH_INTERVAL_S
     assert gathers["agents"] <= HEARTBEAT_PERIOD / 2
 
 
@@ -95,7 +102,10 @@
     assert FOLDER.is_dir()
     from row_store import FEED_SLACK
 
-    assert NEIGHBOURS_GATHER + POLL.total_seconds() + FEED_SLACK < HEARD_GAP
+    assert (
+        NEIGHBOURS_GATHER + MAX_FEED_WAIT.total_seconds() + FEED_SLACK
+        < MAX_FOLLOWED_GAP_S
+    )
 
 
 class Aged(MemoryTables):
@@ -121,13 +131,13 @@
             (1.0, 0.0, 1.0),
             (0.5, 1.0, 1.0),
             (0.5, 0.0, 2.0),
-            (HEARD_GAP, 0.0, 2.0),
+            (MAX_FOLLOWED_GAP_S, 0.0, 2.0),
             (1.0, 0.0, 3.0),
         ):
             clock.advance(passed)
             store.age = age
-            await watch.step()
-            assert watch.heard == heard
+            await watch.poll_once()
+            assert watch.followed_seconds == heard
 
     asyncio.run(run())
 
@@ -159,7 +169,7 @@
         self.keys = set()
         self.clock = ManualClock()
         self.watch = Watch(
-            store, TABLE, self.apply, self.replace, self.clock, keep=True
+            store, TABLE, self.apply, self.replace, self.clock, keeps_rows=True
         )
 
     def replace(self, rows):
@@ -171,7 +181,7 @@
             (self.keys.discard if row.value is None else self.keys.add)(row.key)
 
     def kept(self):
-        return {row.key for row in self.watch.known().rows}
+        return {row.key for row in self.watch.kept_table().rows}
 
 
 async def written(store, *keys):
@@ -184,9 +194,9 @@
 async def overtaken(store, follower, changes):
     """Have a neighbour tell what it knows while the table is read."""
     store.may_answer.clear()
-    step = asyncio.create_task(follower.watch.step())
+    step = asyncio.create_task(follower.watch.poll_once())
     await store.asked.wait()
-    assert follower.watch.learn(changes)
+    assert follower.watch.load_copy(changes)
     store.may_answer.set()
     await step
 
@@ -223,7 +233,7 @@
         await overtaken(store, follower, await written(store, "new"))
         assert follower.keys == follower.kept() == {"new"}
         await written(store, "newest")
-        await follower.watch.step()
+        await follower.watch.poll_once()
         assert follower.keys == follower.kept() == {"new", "newest"}
 
     asyncio.run(run())
@@ -231,10 +241,10 @@
 
 async def without_history(store, follower):
     """Have a follower know the table, and learn that changes are lost."""
-    await follower.watch.step()
+    await follower.watch.poll_once()
     await store.commit([Write("other", "row", {})])
     store.forget()
-    await follower.watch.step()
+    await follower.watch.poll_once()
     assert follower.watch.version == -1
 
 
@@ -257,15 +267,15 @@
         store.copy = old
         follower.clock.advance(1)
         with logbook.TestHandler() as lines:
-            await watch.step()
-            await watch.step()
+            await watch.poll_once()
+            await watch.poll_once()
         assert follower.keys == follower.kept() == {"a"}
         assert watch.failures == 2, "run() pauses, then asks again"
         assert (watch.version, watch.current_at) == (-1, heard_at)
         told = [record.message for record in lines.records]
         assert told.count("An old copy is refused.") == 2
         store.copy = None
-        await watch.step()
+        await watch.poll_once()
         assert (watch.version, watch.failures) == (store.version, 0)
         assert follower.keys == follower.kept() == {"a"}
 
@@ -281,7 +291,7 @@
         await store.commit([Write(TABLE, "withdrawn", None)])
         follower = Follower(store)
         await without_history(store, follower)
-        assert not follower.watch.learn(old)
+        assert not follower.watch.load_copy(old)
         assert follower.keys == {"a"}
 
     asyncio.run(run())
