--- a/gypsumshift/neighbours.py
+++ b/gypsumshift/neighbours.py
@@ -1,10 +1,10 @@
-"""Neighbours: other processes of the system as a way to the platform's store.
+"""Neighbours: access to the platform's store through other processes of the system.
 
-The decision answers a store that some hosts cannot reach, or that turns some away,
-while it serves the others: such a host has its calls passed on by a process that the
-store answers. Nothing is kept on the way, so a call through a neighbour has the same
-outcomes as one of its own: done, refused, or unknown. Where the store answers nobody,
-neighbours say so at once, and the caller goes on trying by itself.
+Some hosts may be unable to reach the store, or be rejected by it, while it serves the
+others. Such a host sends its calls through a process that the store does answer. The
+relaying process keeps no state, so a relayed call has the same outcomes as a direct
+one: done, refused, or unknown. If the store answers no process, neighbours report that
+at once, and the caller continues to try the direct path.
 """
 
 import asyncio
@@ -24,38 +24,41 @@
 
 __all__ = ["Neighbour", "NeighbourRegistry", "Relay", "StorePath"]
 
-# Table of the processes of the system.
+# Store table with one entry for each process of the system.
 NEIGHBOURS_TABLE = "neighbours"
-# Seconds between two writes of a process's own entry, and after which an entry that
-# was not written again is left out: its process is gone.
+# Time between two writes of a process's own entry, and time after which an entry that
+# was not written again is removed because its process is gone.
 ANNOUNCE_PERIOD_S = 15.0
 ENTRY_TIMEOUT_S = 60.0
-# Entries removed in one transaction: a store takes 100 rows, and one that was written
-# meanwhile holds up those beside it. They are drawn, since many remove at once.
+# Maximum number of entries removed in one transaction. A store accepts 100 rows, and an
+# entry that was written in the meantime makes the whole transaction fail. The entries
+# are chosen at random because many processes remove entries at the same time.
 MAX_REMOVALS = 16
-# Seconds between answers of the table: who needs a neighbour asks three that it knows.
+# Time between answers of the table's feed. A longer one is enough here, since a process
+# that needs a neighbour asks three of those it knows.
 NEIGHBOURS_BATCH_INTERVAL_S = 1.0
-# Target by which a process is asked whether the store answers it.
+# Request target at which a process reports whether the store answers it.
 STORE_CHECK_PATH = "/neighbour/reaches-store"
-# Seconds within which the store must have answered a neighbour: its feeds bring an
-# answer each 0.8 s at the latest.
+# Maximum age of the store's last direct answer for a process to count as connected:
+# the feeds that a process follows bring an answer every 0.8 s at the latest.
 MAX_ANSWER_AGE_S = 1.2
-# Calls in a row that fail before neighbours are asked: a single answer is lost now
-# and then, and asking costs three calls.
+# Number of consecutive failed calls before neighbours are probed: single answers are
+# lost occasionally, and a search costs three calls.
 FAILURES_BEFORE_SEARCH = 2
-# Neighbours asked at once, the time for their answer, and the pause until the next are
-# asked, in seconds. A round trip between zones takes 3 ms; hosts that are cut off
-# together do not answer.
+# Number of neighbours probed at once, time limit for their answers, and pause before
+# the next ones are probed. A round trip between zones takes 3 ms; hosts that lost their
+# connection together do not answer.
 CONCURRENT_PROBES = 3
 PROBE_TIMEOUT_S = 0.3
 SEARCH_PAUSE_S = 0.3
-# Seconds between tries of the direct way while a neighbour is used, and for its answer.
+# Time between two probes of the direct path while calls go through a neighbour, and
+# time limit for the store's answer to such a probe.
 DIRECT_PROBE_PERIOD_S = 0.5
 DIRECT_PROBE_TIMEOUT_S = 0.6
-# Seconds that a neighbour gives the store for an answer, beyond the wait of a feed.
+# Time limit of a relayed call; longer than the maximum wait of a feed.
 RELAY_TIMEOUT_S = 1.6
-# What the store says where it turns a call away, and what a neighbour says where it
-# cannot know whether a call that it passed on was carried out.
+# Statuses with which the store rejects a call, and status with which a neighbour
+# reports that a relayed call may or may not have been carried out.
 REJECTED_STATUSES = (429, 503)
 UNCERTAIN_STATUS = 502
 JSON_HEADERS = [("content-type", "application/json")]
@@ -71,11 +74,11 @@
     ----------
     name : str
     address : (str, int)
-        Where it passes calls to the store on.
+        Where the process accepts calls that it relays to the store.
     zone : str
-        Empty where it is not known.
+        Availability zone; empty if unknown.
     link : float
-        Mbit/s of its host; 0 where it is not known.
+        Network bandwidth of its host in Mbit/s; 0 if unknown.
     """
 
     name: str
@@ -85,32 +88,35 @@
 
 
 class StorePath:
-    """The way to the store: the own one, or through a neighbour.
+    """Sends calls to the store, directly or through a neighbour.
 
     Parameters
     ----------
     store : (str, int)
+        Address of the store.
     fetcher : Fetcher
     clock : Clock
     chance : random.Random
     zone : str
-        Availability zone of this process; neighbours in it are asked first.
+        Availability zone of this process; neighbours in it are probed first.
     seeds : list of Neighbour
-        Known before the store was read.
+        Neighbours from the settings, used until the store has been read.
     policy : Policy
 
     Attributes
     ----------
     via : Neighbour or None
-        Neighbour that passes calls on; None for the direct way.
+        Neighbour that relays the calls; None for the direct path.
     neighbours : dict
         `Neighbour` by name.
     reached_at : float
-        When the store last answered a direct call, by the monotonic clock.
+        Time of the store's last answer to a direct call, by the monotonic clock.
     failures : int
-        Direct calls in a row that failed or were turned away.
+        Number of consecutive direct calls that failed or were rejected.
+    search_task : asyncio.Task or None
+        Searches for a neighbour that reaches the store.
     probe_target : str
-        Cheapest call that the store answers; set by the adapter, which knows its calls.
+        Cheapest request that the store answers; set by the store's adapter.
     """
 
     def __init__(
@@ -139,23 +145,23 @@
 
     @property
     def reaches_store(self) -> bool:
-        """Whether the store answers this process directly."""
+        """Whether the store recently answered a direct call of this process."""
         return self.clock.monotonic() - self.reached_at < MAX_ANSWER_AGE_S
 
     @property
     def is_available(self) -> bool:
-        """Whether the store is reached, directly or through a neighbour."""
+        """Whether the store can be reached directly or through a neighbour."""
         return self.via is not None or self.reaches_store
 
     async def fetch(
         self, method: str, target: str, headers, body: bytes, timeout: float
     ) -> FetchedResponse:
-        """Call the store by the way that works.
+        """Call the store on the path in use, direct or through a neighbour.
 
         Raises
         ------
         FetchError
-            ``sent`` tells whether the store may have seen the call.
+            ``sent`` tells whether the store may have received the call.
         """
         if self.via is None:
             return await self.fetch_direct(method, target, headers, body, timeout)
@@ -164,7 +170,7 @@
     async def fetch_direct(
         self, method, target, headers, body, timeout
     ) -> FetchedResponse:
-        """Call the store directly, and learn whether that works."""
+        """Call the store directly and record whether it answered."""
         try:
             answer = await self.fetcher.fetch(
                 self.store, method, target, headers, body, timeout
@@ -182,28 +188,35 @@
     async def fetch_via(
         self, via, method, target, headers, body, timeout
     ) -> FetchedResponse:
-        """Have a neighbour call the store."""
+        """Call the store through a neighbour."""
         try:
             answer = await self.fetcher.fetch(
                 via.address, method, target, headers, body, timeout
             )
         except FetchError:
-            self.stop_using_neighbour(via, "it does not answer")
+            self.stop_using_neighbour(via, "the neighbour does not answer")
             raise
         if answer.status == UNCERTAIN_STATUS:
-            raise FetchError(f"{via.name} got no answer from the store", True)
+            raise FetchError(
+                f"neighbour {via.name} received no answer from the store", True
+            )
         if answer.status in REJECTED_STATUSES:
-            self.stop_using_neighbour(via, "the store turns it away")
+            self.stop_using_neighbour(via, "the store rejects the neighbour's calls")
         return answer
 
     def stop_using_neighbour(self, via: Neighbour, reason: str) -> None:
-        """Go back to the direct way."""
+        """Return to the direct path unless another neighbour is in use by now."""
         if self.via == via:
             self.via = None
-            logs.event(log, "A neighbour is left.", neighbour=via.name, reason=reason)
+            logs.event(
+                log,
+                "Calls to the store no longer go through a neighbour.",
+                neighbour=via.name,
+                reason=reason,
+            )
 
     def record_failure(self) -> None:
-        """Count a direct call that failed, and ask neighbours after some."""
+        """Count a failed direct call, and start a search for a neighbour if needed."""
         self.failures += 1
         idle = self.search_task is None or self.search_task.done()
         if (
@@ -214,9 +227,9 @@
             self.search_task = asyncio.create_task(self.search_relay())
 
     def choose_neighbours(self) -> list[Neighbour]:
-        """Return the neighbours to ask at once, those of the own zone first.
+        """Choose random neighbours to probe, those of the own zone first.
 
-        One of another zone is among them, since a whole zone may be cut off.
+        One of another zone is included, because a whole zone may be disconnected.
         """
         if not self.policy.store_through_neighbours:
             return []
@@ -228,7 +241,10 @@
         return near + far[: CONCURRENT_PROBES - len(near)]
 
     async def search_relay(self) -> None:
-        """Find a neighbour that the store answers; use it until it answers here."""
+        """Find a neighbour that reaches the store, and use it until this process does.
+
+        Returns after a pause if no probed neighbour reaches the store.
+        """
         asked = self.choose_neighbours()
         answers = await asyncio.gather(*map(self.probe_neighbour, asked))
         able = [n for n, answer in zip(asked, answers, strict=True) if answer]
@@ -238,7 +254,7 @@
         self.via = able[0]
         logs.event(
             log,
-            "The store is called through a neighbour.",
+            "The store does not answer directly; calls go through a neighbour.",
             neighbour=self.via.name,
             asked=len(asked),
             able=len(able),
@@ -249,50 +265,50 @@
             await self.probe_store()
 
     async def probe_neighbour(self, neighbour: Neighbour) -> bool:
-        """Ask a neighbour whether the store answers it."""
+        """Return whether a neighbour answers and reaches the store."""
         try:
             answer = await self.fetcher.fetch(
                 neighbour.address, "GET", STORE_CHECK_PATH, timeout=PROBE_TIMEOUT_S
             )
         except FetchError as error:
-            log.debug("{} does not answer: {}", neighbour.name, error)
+            log.debug("Probe of neighbour {} failed: {}", neighbour.name, error)
             return False
         return answer.status == 200
 
     async def probe_store(self) -> None:
-        """Try the direct way while a neighbour is used."""
+        """Probe the direct path, and return to it if the store answers."""
         try:
             answer = await self.fetch_direct(
                 "GET", self.probe_target, (), b"", DIRECT_PROBE_TIMEOUT_S
             )
         except FetchError as error:
-            log.debug("The store does not answer yet: {}", error)
+            log.debug("Direct probe of the store failed: {}", error)
             return
         if answer.status not in REJECTED_STATUSES and self.via is not None:
-            self.stop_using_neighbour(self.via, "the store answers here again")
+            self.stop_using_neighbour(self.via, "the store answers directly again")
 
 
 def parse_neighbour(row: Row) -> Neighbour:
-    """Return the process that a row names; raises KeyError, TypeError, ValueError."""
+    """Decode a row of the table; raises KeyError, TypeError or ValueError."""
     ip, port = row.value["address"]
     ipaddress.IPv4Address(ip)
     if type(port) is not int or not isinstance(row.value["zone"], str):
-        raise TypeError("no port, or no availability zone")
+        raise TypeError("neighbour entry has no valid port or availability zone")
     link = row.value.get("link", 0.0)
     if type(link) not in (int, float):
-        raise TypeError("no width of a link")
+        raise TypeError("bandwidth of a neighbour is not a number")
     return Neighbour(row.key, (ip, port), row.value["zone"], link)
 
 
 class Relay:
-    """Passes neighbours' calls on to the store.
+    """Relays calls of neighbours to the store.
 
     Parameters
     ----------
     path : StorePath
-        Only its direct way is used, so that calls do not go in circles.
-    others : dict
-        Handlers of what else neighbours may ask, by target.
+        Only its direct path is used, so that no call is relayed in a loop.
+    other_handlers : dict
+        Handlers of the other requests between neighbours, by path.
     """
 
     def __init__(
@@ -302,7 +318,7 @@
         self.other_handlers = other_handlers or {}
 
     async def serve(self, request: Request) -> Response:
-        """Answer a neighbour."""
+        """Handle a request of a neighbour; by default, relay it to the store."""
         if request.path in self.other_handlers:
             return await self.other_handlers[request.path](request)
         if request.target == STORE_CHECK_PATH:
@@ -316,19 +332,20 @@
                 RELAY_TIMEOUT_S,
             )
         except FetchError as error:
-            log.debug("A neighbour's call failed: {}", error)
+            log.debug("Relayed call to the store failed: {}", error)
             return Response(UNCERTAIN_STATUS if error.sent else 503)
         return Response(answer.status, JSON_HEADERS, answer.body)
 
 
 class NeighbourRegistry:
-    """Tells the other processes of this one, and learns of them.
+    """Announces this process in the store's table and follows the other entries.
 
     Parameters
     ----------
     own : Neighbour
+        This process.
     path : StorePath
-        Told of the others.
+        Receives the other processes.
     store : RowStore
     clock : Clock
     """
@@ -350,13 +367,13 @@
         self.stale_rows = StaleRowDetector(self.watch)
 
     def replace_rows(self, rows: list[Row]) -> None:
-        """Take the whole table of neighbours; who is not in it is gone."""
+        """Apply a read of the whole table; processes missing from it are removed."""
         for name in self.path.neighbours.keys() - {row.key for row in rows}:
             self.remove_neighbour(name)
         self.apply_rows(rows)
 
     def apply_rows(self, rows: list[Row]) -> None:
-        """Take rows of the table of neighbours."""
+        """Apply changed rows of the table."""
         for row in rows:
             if row.value is None or row.key == self.own.name:
                 self.remove_neighbour(row.key)
@@ -370,26 +387,36 @@
             self.stale_rows.record_row(row)
 
     def drop_unreadable_row(self, row: Row, error: object = "no JSON object") -> None:
-        """Drop an entry that cannot be read: its version known here is an old one."""
-        log.error("Cannot read {}/{}: {!r}", row.table, row.key, error)
+        """Remove the neighbour of an invalid row.
+
+        The version recorded for it is out of date, so a removal on the condition of
+        that version would fail.
+        """
+        log.error(
+            "Neighbour ignored, its entry {}/{} is invalid: {!r}",
+            row.table,
+            row.key,
+            error,
+        )
         self.remove_neighbour(row.key)
 
     def remove_neighbour(self, name: str) -> None:
-        """Drop a process that is gone."""
+        """Remove a process that is gone."""
         self.path.neighbours.pop(name, None)
         self.stale_rows.remove_row(name)
 
     async def run(self) -> None:
-        """Announce this process until cancelled."""
+        """Announce this process periodically until cancelled."""
         while True:
             await self.announce()
             await self.clock.sleep(ANNOUNCE_PERIOD_S)
 
     async def announce(self) -> None:
-        """Write the own entry alone, then remove those of processes that are gone.
+        """Write the own entry by itself, then remove entries of gone processes.
 
-        Where this process could not write, perhaps nobody could: else, of 5 processes,
-        the first to write again after 75 s would remove the 4 others.
+        If this process could not write, possibly no process could, so the time until
+        now counts for no entry. Otherwise, of 5 processes, the first to write again
+        after 75 s would remove the other 4.
         """
         own = self.own
         value = {"address": list(own.address), "zone": own.zone, "link": own.link}
@@ -399,14 +426,24 @@
             return
         self.stale_rows.restart_timers()
         reason = getattr(outcome, "reason", type(outcome).__name__)
-        log.debug("This process is not announced yet: {}", reason)
+        log.debug("Own entry not written to the neighbours table: {}", reason)
 
     async def remove_stale_entries(self) -> None:
-        """Remove some entries, drawn, only as known: newer ones may not be told yet."""
+        """Remove a random sample of stale entries, each on condition of its version.
+
+        A newer entry of the same process may not have been received yet.
+        """
         gone = self.stale_rows.older_than(ENTRY_TIMEOUT_S)
-        drawn = self.path.chance.sample(gone, min(len(gone), MAX_REMOVALS))
-        if drawn:
-            writes = [Write(NEIGHBOURS_TABLE, r.key, expected=r.version) for r in drawn]
+        sample = self.path.chance.sample(gone, min(len(gone), MAX_REMOVALS))
+        if sample:
+            writes = [
+                Write(NEIGHBOURS_TABLE, r.key, expected=r.version) for r in sample
+            ]
             outcome = type(await self.store.commit(writes)).__name__
-            names = [row.key for row in drawn]
-            logs.event(log, "Remove who is gone.", names=names, outcome=outcome)
+            names = [row.key for row in sample]
+            logs.event(
+                log,
+                "Remove entries of neighbours that are gone.",
+                names=names,
+                outcome=outcome,
+            )
--- a/gypsumshift/watch.py
+++ b/gypsumshift/watch.py
@@ -11,71 +11,74 @@
 
 __all__ = ["StaleRowDetector", "Watch"]
 
-# A feed answers after this time at the latest, so that one that fell silent is
-# found out soon: changes must be in force everywhere within two seconds.
+# Maximum time for which the store holds back the answer of a feed. It bounds the time
+# to detect a feed that stopped: changes must be in force everywhere within two seconds.
 MAX_FEED_WAIT = datetime.timedelta(seconds=0.8)
-# The same while the store does not answer, so that its return is noticed soon.
+# The same while the store does not answer, or until a table that was read as a whole is
+# confirmed by its feed, so that a recovery is detected soon.
 MAX_FEED_WAIT_UNCONFIRMED = datetime.timedelta(seconds=0.1)
-# Seconds between answers that hold changes, unless the owner of a table asks for
-# others: many small changes then come in one answer, which bounds the calls of each
-# process to some 15 a second and table.
+# Default pause after an answer with changes. Many small changes then arrive in one
+# answer, which limits each process to about 15 calls a second for each table.
 BATCH_INTERVAL_S = 0.05
-# Seconds before another try where the store could not be asked.
+# Delay before the first retry of a failed call, and maximum delay of later ones.
 FIRST_RETRY_DELAY_S = 0.05
 MAX_RETRY_DELAY_S = 0.2
-# Seconds between two answers up to which a table counts as heard in between. Longer
-# than a pause of a second to gather changes, a feed's longest wait and 0.7 s for its
-# answer; a feed that failed takes longer.
+# Maximum time between two answers for a table to count as followed in between. Longer
+# than a batch interval of a second, the maximum wait of a feed and 0.7 s for its answer
+# together; a feed that failed takes longer.
 MAX_FOLLOWED_GAP_S = 2.6
 
 log = logs.logger("watch")
 
 
 class Watch:
-    """Follows one table, and tells each row that changed.
+    """Follows one table of the store and passes each changed row to a callback.
 
     Parameters
     ----------
     store : RowStore
     table : str
     apply : callable
-        Takes a list of rows in the order of writing. A row without a value was
-        removed. Rows may come again.
+        Called with a list of changed rows in the order of writing. A row without a
+        value was removed. The same row may be passed more than once.
     replace : callable
-        Takes the whole table, where its changes could not be followed.
+        Called with the rows of the whole table after it was read as a whole.
     clock : Clock
     on_return : callable
         Called when the store answers again after a failure.
-    keep : bool
-        Keep the rows, for neighbours that ask.
+    keeps_rows : bool
+        Whether to keep the rows, so that neighbours can request them.
     unreadable : callable or None
-        Takes a row that holds no JSON object; by default it is left out.
-    gather : float
-        Seconds between answers that hold changes. A table that changes all the time is
-        asked for only as often as its reader needs it: its cost grows with those who
-        write and with those who follow, so with the square of the fleet.
-    poll : timedelta
-        Longest wait of the feed for a change; the shorter, the sooner one that fell
-        silent is found out, and the more calls a calm table costs.
+        Called with a row that holds no JSON object; by default the row is logged and
+        ignored.
+    batch_interval : float
+        Pause in seconds after an answer with changes. A table that changes constantly
+        should be read only as often as its reader needs: the cost grows with the
+        number of writers times the number of readers, that is, with the square of the
+        number of processes.
+    max_feed_wait : timedelta
+        Maximum wait of the feed for a change. A shorter one detects a stopped feed
+        sooner but costs more calls on a table that seldom changes.
 
     Attributes
     ----------
     version : int
-        Everything up to this version is known; -1 before the first answer.
-    known_version : int
-        The same before changes were lost; what is read anew must not be older.
+        Version up to which all changes were received; -1 before the first answer.
+    min_version : int
+        Version that was reached before the store lost its history. Older copies of the
+        whole table are rejected.
     current_at : float
-        When the copy was last known to be current, by the monotonic clock.
+        Time at which the copy was last known to be current, by the monotonic clock.
     confirmed : bool
-        Whether changes were told since the whole table was taken.
+        Whether the feed has answered since the whole table was read.
     confirmed_at : float
-        When the exchange began in which the store last told all changes of the table,
-        by the clock that counts a suspended host's time. A copy that another process
-        read confirms nothing.
+        Start time of the last call in which the store returned all changes of the
+        table, by the clock that runs on while the host is suspended. A copy read by
+        another process does not count.
     recovered_at : float
-        When the store last answered again after a failure.
-    heard : float
-        Seconds for which the table was told, gaps left out.
+        Time at which the store last answered again after a failure.
+    followed_seconds : float
+        Total time for which the table was followed without gaps.
     """
 
     def __init__(
@@ -126,11 +129,11 @@
                 await self.clock.sleep(self.batch_interval)
 
     async def poll_once(self) -> None:
-        """Ask once, and take what was told.
+        """Request changes, or the whole table at first, and process the answer.
 
-        What was asked decides what the answer is: a neighbour may tell the table while
-        the store reads it, and a whole table taken as changes would keep what was
-        removed.
+        The call decides how the answer is applied, not the state when it arrives: a
+        neighbour's copy may be loaded during a read of the whole table, and a whole
+        table that is applied as changes would not remove deleted rows.
         """
         if self.version >= 0:
             hasty = self.failures or not self.confirmed
@@ -142,7 +145,7 @@
         self.process_answer(answer, whole=True)
 
     async def poll_changes(self, wait: datetime.timedelta) -> None:
-        """Ask for changes, and take them; a whole answer confirms the copy."""
+        """Request changes from the feed; an accepted answer confirms the copy."""
         began = self.clock.elapsed()
         answer = await self.store.changes(self.table, self.version, wait)
         if self.process_answer(answer, whole=False):
@@ -150,7 +153,7 @@
             self.confirmed_at = max(self.confirmed_at, began)
 
     async def confirm(self) -> None:
-        """Ask the store at once; those who ask together share one call."""
+        """Request changes without waiting; concurrent callers share one call."""
         if self.version < 0:
             return
         if self.confirming is None or self.confirming.done():
@@ -160,9 +163,13 @@
         await asyncio.shield(self.confirming)
 
     def process_answer(self, answer, whole: bool) -> bool:
-        """Take what was answered; return whether all is known that the store told."""
+        """Process an answer of the store; return whether its rows were accepted."""
         if isinstance(answer, HistoryLost):
-            logs.event(log, "Changes were lost; reading anew.", table=self.table)
+            logs.event(
+                log,
+                "The store lost its change history; the whole table is read again.",
+                table=self.table,
+            )
             self.min_version = max(self.version, 0)
             self.version = -1
             return False
@@ -172,49 +179,51 @@
         return self.accept_answer(answer, whole)
 
     def accept_answer(self, answer: Changes, whole: bool) -> bool:
-        """Take an answer, unless it is older than what is known; return whether."""
+        """Apply an answer unless it is older than the copy; return whether it was."""
         if whole and answer.version < self.min_version:
             self.reject_old_copy(answer)
             return False
         if self.failures:
-            logs.event(log, "The store answers again.", table=self.table)
+            logs.event(
+                log, "The store answers again; the table is followed.", table=self.table
+            )
             self.failures = 0
             self.recovered_at = self.clock.monotonic()
             self.on_return()
         if answer.version < self.version:
-            # The store may serve an old copy; nothing steps back.
+            # The store may serve an old copy; the version never decreases.
             return False
         self.record_current(self.clock.monotonic() - answer.age)
         self.apply_answer(answer, whole)
         return True
 
     def reject_old_copy(self, answer: Changes) -> None:
-        """Leave out a whole table from before changes were lost; it is asked again."""
+        """Reject a whole table older than the last one; it is read again later."""
         logs.event(
             log,
-            "An old copy is refused.",
+            "The store returned an old copy of the table; it is rejected.",
             table=self.table,
             version=answer.version,
             known=self.min_version,
         )
-        self.record_failure("an old copy")
+        self.record_failure("the store returned an old copy")
 
     def record_current(self, at: float) -> None:
-        """Take that the copy is known to be current at a time."""
+        """Record that the copy was current at a time, and count the time followed."""
         passed = at - self.current_at
         if 0 < passed < MAX_FOLLOWED_GAP_S:
             self.followed_seconds += passed
-        # What others read before may come later; each second is heard once.
+        # A copy read earlier by another process may arrive later; no time counts twice.
         self.current_at = max(at, self.current_at)
 
     def apply_answer(self, answer: Changes, whole: bool = False) -> None:
-        """Tell the rows of an answer, and remember how far it goes."""
+        """Pass the rows of an answer to the callbacks and record its version."""
         self.version = answer.version
         if self.keeps_rows:
             self.store_rows(answer.rows, whole)
         rows = [row for row in answer.rows if row.readable]
         if whole:
-            # Whoever read it, and when: the next changes confirm it, and soon.
+            # Another process may have read it, some time ago: the feed confirms it.
             self.confirmed = False
             self.replace(rows)
         elif rows:
@@ -224,7 +233,7 @@
                 self.unreadable(row)
 
     def store_rows(self, rows: list[Row], whole: bool) -> None:
-        """Keep rows as they are told."""
+        """Update the kept rows."""
         if whole:
             self.rows.clear()
         for row in rows:
@@ -233,13 +242,13 @@
                 del self.rows[row.part, row.key]
 
     def kept_table(self) -> Changes:
-        """Return all rows that are kept, and the version up to which they go."""
+        """Return all kept rows and their version."""
         return Changes(list(self.rows.values()), self.version)
 
     def load_copy(self, changes: Changes) -> bool:
-        """Take what a neighbour knows, unless something is known; return whether.
+        """Apply a neighbour's copy of the table unless one is present; return whether.
 
-        Nor while changes are lost where it is older than what was known before.
+        After a loss of the history, an older copy than the last known one is rejected.
         """
         if self.version >= 0 or changes.version < self.min_version:
             return False
@@ -247,12 +256,12 @@
         return True
 
     def record_failure(self, reason: str) -> None:
-        """Count a failure; the first of a row is logged."""
+        """Count a failed call; the first of consecutive failures is logged."""
         self.failures += 1
         if self.failures == 1:
             logs.event(
                 log,
-                "The store does not answer.",
+                "The store did not answer; the table is not followed until it does.",
                 table=self.table,
                 reason=reason,
                 version=self.version,
@@ -260,10 +269,10 @@
 
 
 class StaleRowDetector:
-    """How long rows that are written again and again have not been written.
+    """Finds rows that should be written periodically but no longer are.
 
-    Only time in which the table was told counts: else, after 61 s of an outage, each of
-    5 processes takes the 4 others for gone.
+    Only time for which the table was followed counts. Otherwise, after an outage of
+    61 s, each of 5 processes would assume that the 4 others are gone.
 
     Parameters
     ----------
@@ -272,10 +281,11 @@
 
     Attributes
     ----------
-    told : dict
-        Row and `Watch.heard` at the time when it was told first, by key.
-    since : float
-        `Watch.heard` before which silence says nothing.
+    last_seen : dict
+        Latest version of each row and `Watch.followed_seconds` when it was received,
+        by key.
+    valid_from : float
+        Value of `Watch.followed_seconds` before which missing writes do not count.
     """
 
     def __init__(self, watch: Watch):
@@ -284,21 +294,21 @@
         self.valid_from = 0.0
 
     def record_row(self, row: Row) -> None:
-        """Take a row; one that is read again as it was is no sign of life."""
+        """Record a row as written now, unless its version was received before."""
         known = self.last_seen.get(row.key)
         if known is None or known[0].version != row.version:
             self.last_seen[row.key] = row, self.watch.followed_seconds
 
     def remove_row(self, key: str) -> None:
-        """Take that a row is removed, or not known."""
+        """Stop observing a row that was removed or is invalid."""
         self.last_seen.pop(key, None)
 
     def restart_timers(self) -> None:
-        """Take that silence until now says nothing."""
+        """Ignore the time until now for all rows."""
         self.valid_from = self.watch.followed_seconds
 
     def older_than(self, seconds: float) -> list[Row]:
-        """Return the rows, as told last, that have been silent for longer."""
+        """Return the last versions of rows that were not written for longer."""
         horizon = self.watch.followed_seconds - seconds
         if self.valid_from > horizon:
             return []
@@ -306,12 +316,12 @@
 
 
 def log_unreadable(row: Row) -> None:
-    """Say that a row of another writer is left out."""
-    log.error("A row holds no JSON object: {}/{}", row.table, row.key)
+    """Log that a row of another writer is ignored."""
+    log.error("Row {}/{} ignored: its value is no JSON object", row.table, row.key)
 
 
 async def run_watches(watches: list[Watch]) -> None:
-    """Run watches side by side until cancelled."""
+    """Run watches concurrently until cancelled."""
     async with asyncio.TaskGroup() as group:
         for watch in watches:
             group.create_task(watch.run())
--- a/tests/test_neighbour_registry.py
+++ b/tests/test_neighbour_registry.py
@@ -1,4 +1,4 @@
-"""Who is taken for gone from the table of processes, and who is not."""
+"""Removal of entries of gone processes from the neighbours table."""
 
 import asyncio
 import datetime
@@ -21,15 +21,15 @@
 from gypsumshift.watch import MAX_FEED_WAIT, Watch
 from tests.builders import FaultyTables, ManualClock
 
-NOBODY = ("127.0.0.1", 1)
-# Rows that the users' store takes in one transaction.
-MOST_ROWS = 100
+UNREACHABLE = ("127.0.0.1", 1)
+# Maximum number of rows that the users' store accepts in one transaction.
+MAX_TRANSACTION_ROWS = 100
 
 
-class Store(FaultyTables):
-    """Tables whose feed answers at once, and that take few rows in a transaction.
+class LimitedTables(FaultyTables):
+    """Tables whose feed answers at once, with a limit of rows in a transaction.
 
-    While it is down, it takes no writes; its feed goes on.
+    While the store is down, it accepts no writes, but its feed still answers.
     """
 
     def __init__(self):
@@ -40,7 +40,7 @@
         return await super().changes(table, after, datetime.timedelta())
 
     async def commit(self, writes):
-        if len(writes) > MOST_ROWS:
+        if len(writes) > MAX_TRANSACTION_ROWS:
             self.refused += 1
             return Unavailable("status 400")
         return await super().commit(writes)
@@ -50,199 +50,198 @@
 
 
 class Fleet:
-    """Processes that announced themselves and know each other."""
+    """Registries of several processes on one store."""
 
     def __init__(self, count):
-        self.store, self.clock = Store(), ManualClock()
+        self.store, self.clock = LimitedTables(), ManualClock()
         names = [f"p{n:03}" for n in range(count)]
-        self.hoods = {name: self.hood(name) for name in names}
+        self.registries = {name: self.new_registry(name) for name in names}
 
-    def hood(self, name):
-        path = StorePath(NOBODY, None, self.clock, random.Random(1), "here", [])
-        own = Neighbour(name, NOBODY, "here")
+    def new_registry(self, name):
+        path = StorePath(UNREACHABLE, None, self.clock, random.Random(1), "here", [])
+        own = Neighbour(name, UNREACHABLE, "here")
         return NeighbourRegistry(own, path, self.store, self.clock)
 
     async def start(self):
-        for hood in self.hoods.values():
-            await hood.announce()
-        await self.hear()
-        return list(self.hoods.values())
+        for registry in self.registries.values():
+            await registry.announce()
+        await self.poll_all()
+        return list(self.registries.values())
 
-    async def hear(self):
-        for hood in self.hoods.values():
-            await hood.watch.poll_once()
+    async def poll_all(self):
+        for registry in self.registries.values():
+            await registry.watch.poll_once()
 
-    async def listen(self, hood, seconds):
-        """Have one process hear the table all the time."""
+    async def follow(self, registry, seconds):
+        """Let one process follow the table for some time without gaps."""
         for _ in range(math.ceil(seconds / MAX_FEED_WAIT.total_seconds())):
             self.clock.advance(MAX_FEED_WAIT.total_seconds())
-            await hood.watch.poll_once()
+            await registry.watch.poll_once()
 
 
-def played(play, count):
-    """Play something in a fleet."""
+def run_with_fleet(scenario, count):
+    """Run a scenario with the registries of some processes."""
 
     async def run():
-        await play(Fleet(count))
+        await scenario(Fleet(count))
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("name", ["p000", "p001"])
-def test_processes_learn_of_each_other_and_forget_who_is_gone(name):
-    async def play(fleet):
+def test_entry_of_gone_process_is_removed_after_timeout(name):
+    async def scenario(fleet):
         await fleet.start()
-        hood, other = fleet.hoods[name], ({*fleet.hoods} - {name}).pop()
-        assert isinstance(hood.watch, Watch)
-        assert set(hood.path.neighbours) == {other}
-        await fleet.listen(hood, ENTRY_TIMEOUT_S - 1)
-        await hood.announce()
-        assert len(await fleet.store.names()) == 2, "not before its time"
-        await fleet.listen(hood, 2)
-        await hood.announce()
-        await hood.watch.poll_once()
-        assert not hood.path.neighbours
+        registry, other = fleet.registries[name], ({*fleet.registries} - {name}).pop()
+        assert isinstance(registry.watch, Watch)
+        assert set(registry.path.neighbours) == {other}
+        await fleet.follow(registry, ENTRY_TIMEOUT_S - 1)
+        await registry.announce()
+        assert len(await fleet.store.names()) == 2, "entry removed before its timeout"
+        await fleet.follow(registry, 2)
+        await registry.announce()
+        await registry.watch.poll_once()
+        assert not registry.path.neighbours
         assert await fleet.store.names() == [name]
 
-    played(play, 2)
+    run_with_fleet(scenario, 2)
 
 
-def test_nobody_is_removed_for_a_silence_in_which_nothing_was_heard():
-    """After an outage of the store, no process knew another one.
+def test_no_entry_is_removed_for_time_without_answers_of_feed():
+    """After an outage of the store, processes no longer had any neighbours.
 
-    Users see processes that the store turns away and that nobody helps. The store is
-    away for 61 s, nobody can announce itself or hear others; it returns with its
-    history; the first to announce itself removes the four others, since it counted its
-    own deafness as their silence.
+    Processes that the store rejected then found none to relay their calls. During an
+    outage of 61 s, no process can write its entry or read others. The first process to
+    write again removed the four others, because it counted the outage as their absence.
     """
 
-    async def play(fleet):
+    async def scenario(fleet):
         first, *_ = await fleet.start()
         fleet.clock.advance(ENTRY_TIMEOUT_S + 1)
         await first.announce()
-        assert await fleet.store.names() == list(fleet.hoods)
-        await fleet.listen(first, ENTRY_TIMEOUT_S / 2)
+        assert await fleet.store.names() == list(fleet.registries)
+        await fleet.follow(first, ENTRY_TIMEOUT_S / 2)
         await first.announce()
-        assert await fleet.store.names() == list(fleet.hoods)
+        assert await fleet.store.names() == list(fleet.registries)
 
-    played(play, 5)
+    run_with_fleet(scenario, 5)
 
 
-def test_nobody_is_removed_for_a_silence_in_which_nobody_could_write():
-    """After a minute without writes, no process knew another one.
+def test_no_entry_is_removed_for_time_without_writes():
+    """After a minute without writes, processes no longer had any neighbours.
 
-    Users see the same as after an outage. The store's feed is heard all the time, but
-    it takes no writes for 61 s; the first that announces itself then removes all
-    others, whose turn comes some seconds later.
+    The store's feed keeps answering, but the store accepts no writes for 61 s. The
+    first process to write its entry again removed all others, which would have written
+    theirs some seconds later.
     """
 
-    async def play(fleet):
+    async def scenario(fleet):
         first, *_ = await fleet.start()
         fleet.store.down = True
         for _ in range(5):
-            await fleet.listen(first, ANNOUNCE_PERIOD_S)
+            await fleet.follow(first, ANNOUNCE_PERIOD_S)
             await first.announce()
         fleet.store.down = False
         await first.announce()
-        assert await fleet.store.names() == list(fleet.hoods)
+        assert await fleet.store.names() == list(fleet.registries)
 
-    played(play, 5)
+    run_with_fleet(scenario, 5)
 
 
-def test_one_that_announced_itself_meanwhile_is_not_removed():
-    """A process that had just come back was removed again.
+def test_entry_written_in_the_meantime_is_not_removed():
+    """The entry of a process that had just come back was removed again.
 
-    Users see a process for 15 s that nobody helps. It announces itself again after a
-    minute; another one has not heard that yet, and its removal, which held without a
-    condition, meets the new entry.
+    The process writes its entry again after a minute. Another process has not received
+    it yet, and its removal, which had no condition, deleted the new entry: for 15 s,
+    the process was no neighbour of the others.
     """
 
-    async def play(fleet):
+    async def scenario(fleet):
         first, second = await fleet.start()
-        await fleet.listen(first, ENTRY_TIMEOUT_S + 1)
+        await fleet.follow(first, ENTRY_TIMEOUT_S + 1)
         await second.announce()
         await first.announce()
-        assert await fleet.store.names() == list(fleet.hoods)
+        assert await fleet.store.names() == list(fleet.registries)
         await first.watch.poll_once()
         await first.announce()
-        assert await fleet.store.names() == list(fleet.hoods)
+        assert await fleet.store.names() == list(fleet.registries)
 
-    played(play, 2)
+    run_with_fleet(scenario, 2)
 
 
-def test_many_that_are_gone_keep_nobody_from_announcing_itself():
-    """After the loss of a large zone, no process could announce itself any more.
+def test_own_entry_is_written_when_many_processes_are_gone():
+    """After the loss of a large zone, no process could write its entry any more.
 
-    Users see processes vanish for each other one by one. Of 150 processes 149 are gone;
-    their removals stand in one transaction with the own entry, which names 150 rows;
-    the store refuses it, now and each 15 s from then on.
+    Of 150 processes 149 are gone. Their removals were in one transaction with the own
+    entry, 150 rows in all, which the store rejected at each attempt, every 15 s, so
+    that the remaining processes lost each other one by one.
     """
 
-    async def play(fleet):
+    async def scenario(fleet):
         first, *_ = await fleet.start()
         before = (await fleet.store.read(NEIGHBOURS_TABLE, first.own.name)).version
-        await fleet.listen(first, ENTRY_TIMEOUT_S + 1)
+        await fleet.follow(first, ENTRY_TIMEOUT_S + 1)
         for _ in range(20):
             await first.announce()
             after = (await fleet.store.read(NEIGHBOURS_TABLE, first.own.name)).version
-            assert after > before, "it announced itself"
+            assert after > before, "own entry written"
             before = after
-            await fleet.listen(first, ANNOUNCE_PERIOD_S)
+            await fleet.follow(first, ANNOUNCE_PERIOD_S)
         assert await fleet.store.names() == [first.own.name]
         assert fleet.store.refused == 0
 
-    played(play, 150)
+    run_with_fleet(scenario, 150)
 
 
-def test_who_is_missing_from_the_whole_table_is_no_neighbour_any_more():
-    """A process that was removed while changes were lost was asked for ever.
+def test_neighbour_missing_from_whole_table_is_removed():
+    """A process that was removed while changes were lost stayed a neighbour for good.
 
-    Users see retries that lead nowhere: neighbours that are gone are asked for help.
-    The store drops its history, in which the removal stood; the table is read anew,
-    and who is not in it was kept. Nor could others be removed beside it: a removal
-    that names an entry that is not there holds up its whole transaction.
+    The store drops its history, which contained the removal. The whole table is read
+    again, but processes missing from it were kept, and calls were sent to them in vain.
+    Other removals failed as well, because a removal of an entry that does not exist
+    makes its whole transaction fail.
     """
 
-    async def play(fleet):
+    async def scenario(fleet):
         first, gone, silent = await fleet.start()
         await fleet.store.commit([Write(NEIGHBOURS_TABLE, gone.own.name, None)])
         fleet.store.forget()
         await first.watch.poll_once()
         await first.watch.poll_once()
         assert set(first.path.neighbours) == {silent.own.name}
-        await fleet.listen(first, ENTRY_TIMEOUT_S + 1)
+        await fleet.follow(first, ENTRY_TIMEOUT_S + 1)
         await first.announce()
         assert await fleet.store.names() == [first.own.name]
 
-    played(play, 3)
+    run_with_fleet(scenario, 3)
 
 
-def test_an_entry_that_is_read_again_is_no_sign_of_life():
-    """Where the store dropped its history each minute, nobody was ever forgotten."""
+def test_entry_read_again_unchanged_still_times_out():
+    """If the store dropped its history every minute, no gone process was removed."""
 
-    async def play(fleet):
+    async def scenario(fleet):
         first, _ = await fleet.start()
         for _ in range(3):
-            await fleet.listen(first, ENTRY_TIMEOUT_S / 2)
+            await fleet.follow(first, ENTRY_TIMEOUT_S / 2)
             await fleet.store.commit([Write("other", "row", {})])
             fleet.store.forget()
-            await fleet.listen(first, 1)
+            await fleet.follow(first, 1)
         await first.announce()
         assert await fleet.store.names() == [first.own.name]
 
-    played(play, 2)
+    run_with_fleet(scenario, 2)
 
 
 @pytest.mark.parametrize("readable", [True, False])
-def test_an_entry_that_cannot_be_read_any_more_holds_up_no_removal(readable):
-    """A process that was gone stayed a neighbour for good.
+def test_invalid_entry_does_not_block_other_removals(readable):
+    """A process that was gone stayed a neighbour for good, and calls to it failed.
 
-    Users see retries that lead nowhere. An entry is overwritten by something that is
-    no entry, or no JSON object; a removal that names its old version holds up those
-    beside it, each time.
+    An entry is overwritten by a value that is no valid entry, or no JSON object. A
+    removal on the condition of its old version made the other removals of the
+    transaction fail each time.
     """
 
-    async def play(fleet):
+    async def scenario(fleet):
         first, foreign, _ = await fleet.start()
         await fleet.store.commit(
             [Write(NEIGHBOURS_TABLE, foreign.own.name, {"zone": 1})]
@@ -250,8 +249,8 @@
         if not readable:
             bare = attrs.evolve(fleet.store.history[-1], value=None, readable=False)
             fleet.store.history[-1] = bare
-        await fleet.listen(first, ENTRY_TIMEOUT_S + 1)
+        await fleet.follow(first, ENTRY_TIMEOUT_S + 1)
         await first.announce()
         assert await fleet.store.names() == [first.own.name, foreign.own.name]
 
-    played(play, 3)
+    run_with_fleet(scenario, 3)
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -1,4 +1,4 @@
-"""A process that the store does not answer calls it through a neighbour."""
+"""A process that cannot reach the store calls it through a neighbour."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 
 def scenario(test):
-    """Run a test with servers that are stopped at its end."""
+    """Run a test with a `StoreWorld`, whose servers are stopped at the end."""
 
     def run():
         async def inside():
@@ -34,7 +34,7 @@
 
 
 class StoreWorld:
-    """A store that answers some, and processes around it."""
+    """A store and the processes that call it, over local connections."""
 
     def __init__(self):
         self.servers = []
@@ -43,7 +43,7 @@
         self.fetcher = Fetcher()
 
     async def serve(self, handler):
-        """Have a handler answer; return its address."""
+        """Start a server with a handler; return its address."""
         server = HttpServer(handler)
         port = await server.listen("127.0.0.1", 0)
         self.servers.append(server)
@@ -59,7 +59,7 @@
         return path
 
     async def neighbour(self, name, store, zone="here"):
-        """Start a process that the store at this address answers, or not."""
+        """Start a process that relays calls to a store address, reachable or not."""
         path = self.path(store)
         address = await self.serve(Relay(path).serve)
         await call_store(path)
@@ -71,7 +71,7 @@
 
 
 async def call_store(path, method="GET", body=b""):
-    """Call the store; return status, or the error."""
+    """Call the store; return the status or the error."""
     try:
         answer = await path.fetch(method, "/rows?a=b", [], body, 1.0)
     except FetchError as error:
@@ -84,8 +84,11 @@
         assert isinstance(await call_store(path), FetchError)
 
 
-async def helped(world, answer):
-    """Cut a process off from a store that answers so; return both once it is helped."""
+async def start_relayed(world, answer):
+    """Start a process that reaches the store through a neighbour only.
+
+    Return the address of the store, whose handler is ``answer``, and the path.
+    """
     store = await world.serve(answer)
     helper = await world.neighbour("helper", store)
     path = world.path(UNREACHABLE, [helper])
@@ -95,8 +98,8 @@
 
 
 @scenario
-async def test_a_cut_process_is_helped_until_the_store_answers_it_again(world):
-    store, path = await helped(world, world.store)
+async def test_neighbour_relays_calls_until_store_answers_directly(world):
+    store, path = await start_relayed(world, world.store)
     assert await call_store(path, "POST", b"row") == 200
     assert world.calls[-1] == ("POST", "/rows?a=b", b"row")
     path.store = store
@@ -105,20 +108,20 @@
 
 
 @scenario
-async def test_a_process_that_is_turned_away_is_helped_too(world):
-    async def turn_away(request):
+async def test_neighbour_relays_calls_when_store_rejects_them(world):
+    async def reject(request):
         return Response(503)
 
     store = await world.serve(world.store)
     helper = await world.neighbour("helper", store)
-    path = world.path(await world.serve(turn_away), [helper])
+    path = world.path(await world.serve(reject), [helper])
     assert [await call_store(path), await call_store(path)] == [503, 503]
     await until(lambda: path.via == helper)
     assert await call_store(path) == 200
 
 
 @scenario
-async def test_the_own_zone_is_asked_first(world):
+async def test_neighbour_in_own_zone_is_preferred(world):
     store = await world.serve(world.store)
     far = [await world.neighbour(f"far{n}", store, "there") for n in range(3)]
     near = await world.neighbour("near", store)
@@ -129,8 +132,8 @@
 
 
 @scenario
-async def test_another_zone_helps_where_the_own_zone_is_cut_off(world):
-    """With the own zone alone first, three of its four were asked each time."""
+async def test_other_zone_relays_when_own_zone_is_disconnected(world):
+    """Three of the four in the own zone were probed each time, and no other."""
     near = [await world.neighbour(f"near{n}", UNREACHABLE) for n in range(4)]
     store = await world.serve(world.store)
     far = await world.neighbour("far", store, "there")
@@ -140,7 +143,7 @@
     assert path.via == far
 
 
-def test_three_neighbours_are_asked_wherever_they_are():
+def test_three_neighbours_are_chosen_for_any_mix_of_zones():
     path = StorePath(UNREACHABLE, None, None, random.Random(1), "here", [])
     for near, far in ((0, 5), (1, 5), (5, 0), (5, 5), (2, 1)):
         zones = ["here"] * near + ["there"] * far
@@ -153,7 +156,7 @@
 
 
 @scenario
-async def test_nobody_helps_where_the_store_answers_nobody(world):
+async def test_no_neighbour_is_used_when_store_answers_no_process(world):
     other = await world.neighbour("other", UNREACHABLE)
     path = world.path(UNREACHABLE, [other])
     await fail_twice(path)
@@ -163,16 +166,16 @@
 
 
 @scenario
-async def test_a_neighbour_that_goes_is_left(world):
-    _, path = await helped(world, world.store)
+async def test_neighbour_that_stops_is_no_longer_used(world):
+    _, path = await start_relayed(world, world.store)
     await world.servers.pop().stop(0)
     assert isinstance(await call_store(path), FetchError)
     assert path.via is None
 
 
 @scenario
-async def test_a_write_whose_answer_is_lost_on_the_way_stays_unknown(world):
-    async def lose(request):
+async def test_relayed_write_with_lost_answer_may_have_been_sent(world):
+    async def lose_answer(request):
         if request.method == "GET":
             return Response(200)
         return Response(200, [], cut())
@@ -181,15 +184,15 @@
         raise ResponseAborted("lost")
         yield b""
 
-    _, path = await helped(world, lose)
+    _, path = await start_relayed(world, lose_answer)
     error = await call_store(path, "POST", b"row")
     assert isinstance(error, FetchError)
-    assert error.sent, "it may have been written"
+    assert error.sent, "the row may have been written"
 
 
 @scenario
-async def test_a_write_that_a_neighbour_could_not_send_was_not_done(world):
-    _, path = await helped(world, world.store)
+async def test_write_that_neighbour_could_not_send_is_reported_as_unavailable(world):
+    _, path = await start_relayed(world, world.store)
     for server in world.servers[:1]:
         await server.stop(0)
     world.fetcher.close_idle()
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""How often a table is asked for while it changes all the time."""
+"""Following a table: number of calls, time followed, and whole reads."""
 
 import asyncio
 import datetime
@@ -17,46 +17,48 @@
 from tests.test_agent import scenario
 
 TABLE = "servers"
-# Seconds for which a server that leaves may get requests, in the strictest deployment.
-LEAVING = 2.0
+# Time for which a server that shuts down may still receive requests, in the strictest
+# deployment.
+MAX_DRAIN_DELAY_S = 2.0
+REJECTED = "The store returned an old copy of the table; it is rejected."
 
 
-class Busy(MemoryTables):
-    """A table of 50 rows, of which each is written once a second."""
+class BusyTables(MemoryTables):
+    """Table of 50 rows, each of which is written once a second."""
 
     def __init__(self, clock):
         super().__init__()
         self.clock = clock
         self.calls = 0
-        self.told = 0
+        self.rows_returned = 0
 
     async def snapshot(self, table, after=0):
         return Changes([], int(self.clock.monotonic() * 50))
 
     async def changes(self, table, after, wait: datetime.timedelta):
         self.calls += 1
-        # A clock that is advanced by hand gives no other task its turn.
+        # Advancing the clock by hand does not let other tasks run.
         await asyncio.sleep(0)
         self.clock.advance(0.004)
         version = int(self.clock.monotonic() * 50)
         rows = [Row(table, f"s{n % 50}", n, {}) for n in range(after + 1, version + 1)]
-        self.told += len(rows)
+        self.rows_returned += len(rows)
         return Changes(rows, version)
 
 
-def followed(gather):
-    """Return the store after ten seconds of following its table."""
+def follow_for_ten_seconds(interval):
+    """Follow a busy table for ten seconds; return its store."""
 
     async def run():
         clock = ManualClock()
-        store = Busy(clock)
+        store = BusyTables(clock)
         watch = Watch(
             store,
             TABLE,
             lambda rows: None,
             lambda rows: None,
             clock,
-            batch_interval=gather,
+            batch_interval=interval,
         )
         following = asyncio.create_task(watch.run())
         end = clock.monotonic() + 10
@@ -68,27 +70,31 @@
     return asyncio.run(run())
 
 
-def test_a_table_that_changes_all_the_time_costs_few_calls_and_no_change():
-    """Its followers asked 19 times a second each; 4 times with a quarter second."""
-    often, seldom = followed(BATCH_INTERVAL_S), followed(0.25)
+def test_longer_batch_interval_reduces_calls_without_losing_changes():
+    """By default, a constantly changing table costs each follower 19 calls a second.
+
+    With an interval of a quarter second it costs 4.
+    """
+    often = follow_for_ten_seconds(BATCH_INTERVAL_S)
+    seldom = follow_for_ten_seconds(0.25)
     assert often.calls > 180
     assert seldom.calls < 42
-    assert seldom.told > 480, "all changes of ten seconds but for the last ones"
+    assert seldom.rows_returned > 480, "all changes of ten seconds except the last ones"
 
 
-def test_servers_that_leave_are_known_well_before_they_may_get_no_requests():
+def test_servers_interval_is_well_below_drain_delay():
     assert FOLDER.is_dir()
     from documents import SERVERS_GATHER, DirectoryFeed
 
     feed = DirectoryFeed(Directory(), MemoryTables(), ManualClock())
-    assert feed.servers.batch_interval == SERVERS_GATHER <= LEAVING / 4
+    assert feed.servers.batch_interval == SERVERS_GATHER <= MAX_DRAIN_DELAY_S / 4
     assert feed.operator.batch_interval == BATCH_INTERVAL_S, (
-        "a configuration is in force at once"
+        "a configuration must be applied without delay"
     )
 
 
 @scenario
-async def test_a_lost_agent_is_missed_by_half_a_heartbeat_later_at_the_most(
+async def test_agents_interval_is_at_most_half_a_heartbeat_period(
     world: JobCluster,
 ):
     agent = world.agent("a")
@@ -97,8 +103,8 @@
     assert gathers["agents"] <= HEARTBEAT_PERIOD / 2
 
 
-def test_a_table_counts_as_heard_between_its_rarest_answers():
-    """Else nobody's silence would ever count: no process that is gone was forgotten."""
+def test_table_counts_as_followed_at_longest_time_between_answers():
+    """Otherwise no time would count, and entries of gone processes would stay."""
     assert FOLDER.is_dir()
     from row_store import FEED_SLACK
 
@@ -108,8 +114,8 @@
     )
 
 
-class Aged(MemoryTables):
-    """A table whose answers are of the age that is set."""
+class AgedTables(MemoryTables):
+    """Tables whose answers have the age that is set."""
 
     age = 0.0
 
@@ -120,13 +126,13 @@
         return Changes([], 1, self.age)
 
 
-def test_time_counts_as_heard_once_and_without_gaps():
-    """A copy that others read is older than what is known; an outage is no hearing."""
+def test_followed_time_counts_once_and_excludes_gaps():
+    """A copy read earlier by another process adds no time, nor does an outage."""
 
     async def run():
-        store, clock = Aged(), ManualClock()
+        store, clock = AgedTables(), ManualClock()
         watch = Watch(store, TABLE, lambda rows: None, lambda rows: None, clock)
-        for passed, age, heard in (
+        for passed, age, followed in (
             (0.0, 0.0, 0.0),
             (1.0, 0.0, 1.0),
             (0.5, 1.0, 1.0),
@@ -137,13 +143,13 @@
             clock.advance(passed)
             store.age = age
             await watch.poll_once()
-            assert watch.followed_seconds == heard
+            assert watch.followed_seconds == followed
 
     asyncio.run(run())
 
 
-class Copied(MemoryTables):
-    """Tables that answer whole reads when they may, from a copy where there is one."""
+class CopiedTables(MemoryTables):
+    """Tables that hold back whole reads and may answer them from an old copy."""
 
     copy = None
 
@@ -163,7 +169,7 @@
 
 
 class Follower:
-    """A watch, and what it was told: the keys by its owner's reckoning."""
+    """A watch, and the keys of the table according to its callbacks."""
 
     def __init__(self, store):
         self.keys = set()
@@ -184,63 +190,62 @@
         return {row.key for row in self.watch.kept_table().rows}
 
 
-async def written(store, *keys):
-    """Write rows, each in a transaction; return the whole table."""
+async def write_rows(store, *keys):
+    """Write each row in its own transaction; return the whole table."""
     for key in keys:
         await store.commit([Write(TABLE, key, {})])
     return await MemoryTables.snapshot(store, TABLE)
 
 
-async def overtaken(store, follower, changes):
-    """Have a neighbour tell what it knows while the table is read."""
+async def load_copy_during_read(store, follower, changes):
+    """Load a neighbour's copy while a read of the whole table is in progress."""
     store.may_answer.clear()
-    step = asyncio.create_task(follower.watch.poll_once())
+    poll = asyncio.create_task(follower.watch.poll_once())
     await store.asked.wait()
     assert follower.watch.load_copy(changes)
     store.may_answer.set()
-    await step
+    await poll
 
 
-def test_a_whole_table_stays_one_where_a_neighbour_was_faster():
-    """A server that was removed got requests until the process was restarted.
+def test_whole_read_replaces_copy_that_was_loaded_meanwhile():
+    """A removed server received requests until the process was restarted.
 
-    Users see requests fail at a server that is gone. A process starts; its first
-    reading of the table is under way; a neighbour tells what it knows, a server among
-    it that is removed meanwhile; the reading comes and is taken as changes, since
-    something is known by then, so that no change ever tells of the removal.
+    During its first read of the whole table, a starting process loads a neighbour's
+    copy that still has a server which was removed meanwhile. The answer to the read was
+    then applied as changes, which never mention that removal.
     """
 
     async def run():
-        store = Copied()
-        old = await written(store, "gone", "stays")
+        store = CopiedTables()
+        old = await write_rows(store, "gone", "stays")
         await store.commit([Write(TABLE, "gone", None)])
         follower = Follower(store)
-        await overtaken(store, follower, old)
+        await load_copy_during_read(store, follower, old)
         assert follower.watch.version == store.version
         assert follower.keys == follower.kept() == {"stays"}
 
     asyncio.run(run())
 
 
-def test_a_whole_table_older_than_what_a_neighbour_told_is_left_out():
-    """Nothing steps back, also where the older answer comes later."""
+def test_whole_read_older_than_loaded_copy_is_ignored():
+    """The version never decreases, even if the older answer arrives later."""
 
     async def run():
-        store = Copied()
-        store.copy = await written(store, "gone")
+        store = CopiedTables()
+        store.copy = await write_rows(store, "gone")
         await store.commit([Write(TABLE, "gone", None)])
         follower = Follower(store)
-        await overtaken(store, follower, await written(store, "new"))
+        await load_copy_during_read(store, follower, await write_rows(store, "new"))
         assert follower.keys == follower.kept() == {"new"}
-        await written(store, "newest")
+        await write_rows(store, "newest")
         await follower.watch.poll_once()
         assert follower.keys == follower.kept() == {"new", "newest"}
 
     asyncio.run(run())
 
 
-async def without_history(store, follower):
-    """Have a follower know the table, and learn that changes are lost."""
+async def lose_history(store, follower):
+    """Let a follower read the table and then detect that the history is lost."""
     await follower.watch.poll_once()
     await store.commit([Write("other", "row", {})])
     store.forget()
@@ -248,32 +253,32 @@
     assert follower.watch.version == -1
 
 
-def test_a_copy_older_than_what_was_known_is_refused_and_asked_for_again():
-    """A configuration that had been withdrawn was in force again.
+def test_old_copy_after_lost_history_is_rejected_and_read_again():
+    """A configuration that had been withdrawn was applied again.
 
-    Users see old limits for a while. The store drops its history; the table is read
-    anew, from an old copy of it; the copy is taken, since after the loss its version
-    is compared with none.
+    The store drops its history, and the whole table is read again from an old copy. The
+    copy was accepted because after the loss its version was compared with none, and
+    users saw old limits for a while.
     """
 
     async def run():
-        store = Copied()
-        old = await written(store, "a", "withdrawn")
+        store = CopiedTables()
+        old = await write_rows(store, "a", "withdrawn")
         await store.commit([Write(TABLE, "withdrawn", None)])
         follower = Follower(store)
         watch = follower.watch
-        await without_history(store, follower)
-        heard_at = watch.current_at
+        await lose_history(store, follower)
+        current_at = watch.current_at
         store.copy = old
         follower.clock.advance(1)
         with logbook.TestHandler() as lines:
             await watch.poll_once()
             await watch.poll_once()
         assert follower.keys == follower.kept() == {"a"}
-        assert watch.failures == 2, "run() pauses, then asks again"
-        assert (watch.version, watch.current_at) == (-1, heard_at)
-        told = [record.message for record in lines.records]
-        assert told.count("An old copy is refused.") == 2
+        assert watch.failures == 2, "run() retries after a pause"
+        assert (watch.version, watch.current_at) == (-1, current_at)
+        logged = [record.message for record in lines.records]
+        assert logged.count(REJECTED) == 2
         store.copy = None
         await watch.poll_once()
         assert (watch.version, watch.failures) == (store.version, 0)
@@ -282,15 +287,15 @@
     asyncio.run(run())
 
 
-def test_nothing_older_than_what_was_known_is_learnt_from_a_neighbour():
-    """The same, where a neighbour tells the old copy while the history is lost."""
+def test_old_copy_of_neighbour_is_rejected_after_lost_history():
+    """The same fault, with the old copy sent by a neighbour."""
 
     async def run():
-        store = Copied()
-        old = await written(store, "a", "withdrawn")
+        store = CopiedTables()
+        old = await write_rows(store, "a", "withdrawn")
         await store.commit([Write(TABLE, "withdrawn", None)])
         follower = Follower(store)
-        await without_history(store, follower)
+        await lose_history(store, follower)
         assert not follower.watch.load_copy(old)
         assert follower.keys == {"a"}
 
