--- a/gypsumshift/bootstrap.py
+++ b/gypsumshift/bootstrap.py
@@ -1,9 +1,9 @@
-"""Bootstrap: what a process that starts while the store is away learns from others.
+"""Bootstrap: load tables from neighbours at a start during an outage of the store.
 
-The decision answers hosts that are restarted during an outage of the store: without
-the configuration they refuse callers until it returns (7 s in the outages seen), while
-processes that did not restart go on by what they know. What a neighbour knows may be
-old; the store's word replaces it as soon as it is heard, and nothing steps back.
+A host restarted during an outage would have no configuration and refuse callers until
+the store recovers (7 s in observed outages), while processes that were not restarted
+continue with their copies. A neighbour's copy may be out of date. It is replaced by the
+store's first answer, and the version of a table never decreases.
 """
 
 import asyncio
@@ -21,10 +21,10 @@
 
 __all__ = ["KNOWN_TABLES_PATH", "Bootstrap"]
 
-# Target by which a process is asked what it knows of the kept tables.
+# Request path at which a process returns the tables that it keeps.
 KNOWN_TABLES_PATH = "/neighbour/known"
-# Seconds before neighbours are asked for the first time, in which the store usually
-# answers, and between two times.
+# Delay before the first request to neighbours, in which the store usually answers, and
+# between later ones; and time limit for a neighbour's answer.
 ASK_PERIOD_S = 0.3
 ASK_TIMEOUT_S = 0.5
 
@@ -32,14 +32,14 @@
 
 
 class Bootstrap:
-    """Tells neighbours what this process knows, and learns from them at its start.
+    """Serves kept tables to neighbours, and loads missing ones from them at the start.
 
     Parameters
     ----------
     watches : list of Watch
-        Those that keep their rows.
+        Watches that keep their rows.
     path : StorePath
-        Knows the neighbours.
+        Provides the neighbours and the client to reach them.
     clock : Clock
     """
 
@@ -49,16 +49,16 @@
         self.clock = clock
 
     async def serve(self, request: Request) -> Response:
-        """Answer a neighbour that asks what is known here."""
-        known = {
+        """Answer a neighbour's request for all kept tables."""
+        tables = {
             w.table: attrs.asdict(w.kept_table())
             for w in self.watches
             if w.version >= 0
         }
-        return json_response(200, known)
+        return json_response(200, tables)
 
     async def run(self) -> None:
-        """Learn until everything is known, from the store or from neighbours."""
+        """Load from neighbours until every table has a first copy."""
         while True:
             await self.clock.sleep(ASK_PERIOD_S)
             if all(watch.version >= 0 for watch in self.watches):
@@ -67,16 +67,16 @@
                 await self.load_from_neighbours()
 
     async def load_from_neighbours(self) -> None:
-        """Ask some neighbours, and take the newest that they know of each table."""
+        """Request all tables from some neighbours, and load the newest copy of each."""
         asked = self.path.choose_neighbours()
         answers = await asyncio.gather(*map(self.request_tables, asked))
         for watch in self.watches:
-            known = [answer[watch.table] for answer in answers if watch.table in answer]
-            newest = max(known, key=lambda changes: changes.version, default=None)
+            copies = [a[watch.table] for a in answers if watch.table in a]
+            newest = max(copies, key=lambda changes: changes.version, default=None)
             if newest is not None and watch.load_copy(newest):
                 logs.event(
                     log,
-                    "Learnt from a neighbour.",
+                    "Loaded a table from a neighbour while the store does not answer.",
                     table=watch.table,
                     version=newest.version,
                     rows=len(newest.rows),
@@ -84,20 +84,20 @@
                 )
 
     async def request_tables(self, neighbour: Neighbour) -> dict[str, Changes]:
-        """Ask one neighbour; nothing where it does not answer."""
+        """Request all tables from one neighbour; return none if that fails."""
         try:
             answer = await self.path.fetcher.fetch(
                 neighbour.address, "GET", KNOWN_TABLES_PATH, timeout=ASK_TIMEOUT_S
             )
             return decode_tables(answer.body) if answer.status == 200 else {}
         except (FetchError, AttributeError, KeyError, TypeError, ValueError) as error:
-            log.debug("{} does not tell what it knows: {}", neighbour.name, error)
+            log.debug("Neighbour {} returned no tables: {}", neighbour.name, error)
             return {}
 
 
 def decode_tables(body: bytes) -> dict[str, Changes]:
-    """Return what a neighbour knows, by table; raises for a foreign answer."""
+    """Decode a neighbour's tables, by name; raises if the answer is invalid."""
     return {
-        table: Changes([Row(**row) for row in known["rows"]], known["version"])
-        for table, known in json.loads(body).items()
+        table: Changes([Row(**row) for row in content["rows"]], content["version"])
+        for table, content in json.loads(body).items()
     }
--- a/gypsumshift/hedging.py
+++ b/gypsumshift/hedging.py
@@ -1,10 +1,10 @@
-"""Hedging: a write to the store that is not answered is sent once more.
+"""Hedging: send a write to the store again if its answer is late.
 
-The decision answers a store that carries writes out and loses their answers: a third to
-a half of them for some seconds. Each one lost held a result or a claim up for the 1.5 s
-of a time-out, and what stood behind it as well: items were claimed up to 3.1 s after
-their step, and results stored 5 s after they were there (logs of a play). Writes are
-idempotent: each holds only under a condition, or is the same however often it is made.
+The store may carry out writes but lose their answers, for some seconds a third to a
+half of them. Each lost answer delayed a result or a claim, and whatever depended on it,
+by the time-out of 1.5 s: items were claimed up to 3.1 s after their step, and results
+were stored 5 s after they were ready. Writes are idempotent: each one either depends on
+a condition or has the same effect however often it is sent.
 """
 
 import asyncio
@@ -18,49 +18,49 @@
 
 __all__ = ["AverageAnswerTime", "HedgedStore"]
 
-# Copies of one write at the most: of three, one in ten finds no answer where half of
-# them are lost.
+# Maximum number of copies of one write. With three, one write in ten gets no answer
+# while half of the answers are lost.
 MAX_COPIES = 3
-# Seconds after which a copy is sent, at the least and at the most. A transaction takes
-# 5 to 10 ms; with less, a host that is busy for a moment would send twice.
+# Minimum and maximum delay before another copy is sent. A transaction takes 5 to 10 ms;
+# with a shorter minimum, a host that is briefly busy would send writes twice.
 MIN_HEDGE_DELAY_S = 0.15
 MAX_HEDGE_DELAY_S = 1.0
-# A copy is sent once an answer takes so many times the usual time: a store that is slow
-# for all answers nothing sooner when it is asked twice.
+# Multiple of the average answer time after which a copy is sent. A store that is slow
+# for all calls does not answer sooner if writes are sent twice.
 SLOW_FACTOR = 4.0
-# Weight of the newest answer in the usual time: some five answers back, so that a store
-# that turned slow is known before a second's writes have been doubled.
+# Weight of the newest answer in the average, which thus covers about five answers: a
+# store that becomes slow is detected before the writes of a second are doubled.
 NEWEST_WEIGHT = 0.2
 
 log = logs.logger("hedging")
 
 
 class AverageAnswerTime:
-    """Usual time of the store's answers to writes, in seconds."""
+    """Moving average of the store's answer time for writes, in seconds."""
 
     def __init__(self):
         self.average = 0.0
 
     def record(self, took: float) -> None:
-        """Take the seconds that an answer took."""
+        """Add the time that an answer took, in seconds."""
         self.average = self.average or took
         self.average += NEWEST_WEIGHT * (took - self.average)
 
     def hedge_delay(self) -> float:
-        """Return the seconds after which a write is sent once more."""
+        """Return the delay in seconds before another copy of a write is sent."""
         return min(
             max(SLOW_FACTOR * self.average, MIN_HEDGE_DELAY_S), MAX_HEDGE_DELAY_S
         )
 
 
 class HedgedStore(WrappedStore):
-    """Store whose writes are sent again where their answers stay away.
+    """Store that sends a write again if its answer is late.
 
     Parameters
     ----------
     inner : RowStore
     path : StorePath
-        Tells whether the store answers at all: one that is away is not asked twice.
+        Provides whether the store answers at all; if not, writes are not repeated.
     clock : Clock
     policy : Policy
     """
@@ -79,10 +79,10 @@
         self.answer_time = AverageAnswerTime()
 
     async def commit(self, writes: list[Write]) -> Written:
-        """Apply all writes, or none where a condition does not hold.
+        """Apply all writes, or none if a condition does not hold.
 
-        Where a copy met what the one before had written, that is a conflict, as it is
-        for a write that is made again after a time-out.
+        If a copy finds the rows of an earlier copy already written, the outcome is a
+        conflict, as for a write that is repeated after a time-out.
         """
         copies: set[asyncio.Task] = set()
         try:
@@ -94,16 +94,16 @@
     async def race_copies(
         self, writes: list[Write], copies: set[asyncio.Task]
     ) -> Written:
-        """Return the first outcome that is certain; an uncertain one if none is."""
+        """Send copies until one has a certain outcome; else return an uncertain one."""
         ended: list[Written] = []
         sent = 0
         while True:
             if sent < self.max_copies and (not sent or self.may_send_copy(ended)):
                 copies.add(asyncio.create_task(self.send_copy(writes)))
                 sent += 1
-            waits = self.answer_time.hedge_delay() if sent < self.max_copies else None
+            delay = self.answer_time.hedge_delay() if sent < self.max_copies else None
             done, _ = await asyncio.wait(
-                copies, timeout=waits, return_when=asyncio.FIRST_COMPLETED
+                copies, timeout=delay, return_when=asyncio.FIRST_COMPLETED
             )
             copies -= done
             ended += [task.result() for task in done]
@@ -114,11 +114,11 @@
                 return self.uncertain_outcome(ended)
 
     def may_send_copy(self, ended: list[Written]) -> bool:
-        """Tell whether one more copy may find an answer."""
+        """Return whether another copy is worth sending."""
         return not ended and self.path.reaches_store
 
     async def send_copy(self, writes: list[Write]) -> Written:
-        """Send one copy."""
+        """Send one copy of a write, and record the time until its answer."""
         started = self.clock.monotonic()
         outcome = await self.inner.commit(writes)
         if isinstance(outcome, (Committed, Conflict)):
@@ -126,6 +126,9 @@
         return outcome
 
     def uncertain_outcome(self, ended: list[Written]) -> Unavailable | Unknown:
-        """Return what may be said of a write of which no copy was answered."""
+        """Return the outcome of a write none of whose copies had a certain outcome.
+
+        It is unknown if any copy may have been carried out.
+        """
         unknown = [outcome for outcome in ended if isinstance(outcome, Unknown)]
         return unknown[0] if unknown else ended[0]
--- a/gypsumshift/sharedreads.py
+++ b/gypsumshift/sharedreads.py
@@ -1,12 +1,13 @@
-"""Rereads: one process of a zone reads a whole table for the others.
-
-The decision answers a store that lost its history or comes back: every process then
-reads every table that it follows anew, in the same second. A table of batch jobs costs
-a call for each job that is kept, some 110. Of 107 processes, 542 whole reads were seen
-in a second; those of 1,950 would take all calls of a large store for half a minute. So
-each table has a reader in each zone, the same at all processes that know the same
-neighbours; the others take what it read. Who is not answered soon reads by itself, and
-nothing is kept: a copy is handed on for as long as it takes the zone to ask.
+"""Shared reads: one process of a zone reads a whole table for the others.
+
+When the store lost its history or recovers from an outage, every process reads all the
+tables that it follows again within the same second. A table of batch jobs costs one
+call for each stored job, about 110. With 107 processes, 542 whole reads were observed
+in a second; with 1,950 processes, they would take all calls of a large store for half a
+minute. Each table therefore has one reader in each zone, and processes that know the
+same neighbours agree on it. The others request its copy, and read the table themselves
+if the reader does not answer soon. Copies are discarded once the zone has had time to
+request them.
 """
 
 import asyncio
@@ -29,24 +30,26 @@
 __all__ = [
     "TABLE_PATH",
     "SharedReadStore",
-    "pack_table",
     "order_readers",
+    "pack_table",
     "unpack_table",
 ]
 
-# Target by which a process is asked to read a table.
+# Request path at which a process reads a table for its neighbours.
 TABLE_PATH = "/neighbour/table"
-# Seconds for which a table that was read is handed on. All that lost their history
-# learn of it within a feed's longest answer.
+# Time for which a copy is passed to other processes. All processes detect a lost
+# history, and request the table, within the maximum wait of a feed.
 COPY_LIFETIME_S = 1.0
-# Processes asked before one reads by itself, and seconds for the answer of each: with
-# two, a configuration is in force within its bound of 2 s also when both are gone.
+# Number of readers asked before a process reads a table itself, and time limit for each
+# answer. With two, a configuration is applied within its bound of 2 s even if both
+# readers are gone.
 MAX_READERS_ASKED = 2
 READER_TIMEOUT_S = 0.5
-# Hosts with less than this part of the widest link of their zone read for nobody: the
-# jobs of a large step are some 2 MB, and entry hosts have links of 30 Mbit/s and more.
+# Hosts with less than this fraction of the highest bandwidth in their zone are no
+# readers: the jobs of a large step are about 2 MB, and entry hosts may have only
+# 30 Mbit/s.
 MIN_LINK_RATIO = 0.5
-# Least effort of compression: a fifth of the bytes for 10 ms a megabyte.
+# Fastest zlib level: reduces the size to a fifth at a cost of 10 ms for each megabyte.
 COMPRESSION_LEVEL = 1
 
 log = logs.logger("rereads")
@@ -54,16 +57,17 @@
 
 @attrs.define
 class TableCopy:
-    """A table that was read here.
+    """Copy of a table that this process read from the store.
 
     Attributes
     ----------
     changes : Changes
     read_at : float
-        When it was asked for, by the monotonic clock, in seconds.
+        Time at which the read began, by the monotonic clock, in seconds.
     packed : bytes
-        The table as it is handed on; empty until somebody asks. Packed for each who
-        asks, 2 MB of steps held a reader up for a second in a zone of 18 processes.
+        The table in packed form; empty until the first request. It is kept because
+        packing 2 MB of jobs for each request blocked a reader for a second in a zone of
+        18 processes.
     """
 
     changes: Changes
@@ -71,19 +75,19 @@
     packed: bytes = b""
 
     def packed_table(self) -> bytes:
-        """Return the table as it is handed on."""
+        """Return the table in packed form, packing it on the first call."""
         self.packed = self.packed or pack_table(self.changes)
         return self.packed
 
 
 class SharedReadStore(WrappedStore):
-    """Store whose whole tables are read once for a zone.
+    """Store whose whole tables are read by one process for its zone.
 
     Parameters
     ----------
     inner : RowStore
     path : StorePath
-        Knows the other processes.
+        Provides the other processes and the client to reach them.
     own : Neighbour
         This process.
     clock : Clock
@@ -107,7 +111,7 @@
         self.pending_reads: dict[str, asyncio.Task] = {}
 
     async def snapshot(self, table, after=0):
-        """Return the rows of all parts, as read here or by the zone's reader."""
+        """Return the rows of all parts, read by a reader of the zone or directly."""
         for reader in self.readers_to_ask(table):
             changes = await self.request_table(reader, table, after)
             if changes is not None:
@@ -118,25 +122,29 @@
         return attrs.evolve(copy.changes, age=self.age_of(copy))
 
     def age_of(self, copy: TableCopy) -> float:
-        """Return the seconds since a copy was read."""
+        """Return the age of a copy in seconds."""
         return self.clock.monotonic() - copy.read_at
 
     def readers_to_ask(self, table: str) -> list[Neighbour]:
-        """Return the processes to ask for a table; none where this one reads it.
+        """Return the processes to request a table from; none if this one is a reader.
 
-        Nor while the store does not answer here: others would wait for it as well.
+        None either while the store does not answer this process, since the others then
+        wait for it as well.
         """
         if not self.policy.shared_rereads or not self.path.reaches_store:
             return []
         others = self.path.neighbours.values()
         near = [n for n in others if n.zone == self.own.zone]
-        found = order_readers(table, [self.own, *near])[:MAX_READERS_ASKED]
-        return [] if self.own in found else found
+        chosen = order_readers(table, [self.own, *near])[:MAX_READERS_ASKED]
+        return [] if self.own in chosen else chosen
 
     async def request_table(
         self, reader: Neighbour, table: str, after: int
     ) -> Changes | None:
-        """Have another process read a table; None where it does not."""
+        """Request a table from another process; return None if that fails.
+
+        A copy older than version ``after`` counts as a failure.
+        """
         query = urllib.parse.urlencode({"name": table, "after": after})
         try:
             answer = await self.path.fetcher.fetch(
@@ -147,15 +155,22 @@
             age, _, packed = answer.body.partition(b"\n")
             changes = attrs.evolve(unpack_table(packed), age=float(age))
         except (FetchError, AttributeError, KeyError, TypeError, ValueError) as error:
-            log.debug("{} does not read {}: {}", reader.name, table, error)
+            log.debug(
+                "Neighbour {} returned no copy of table {}: {}",
+                reader.name,
+                table,
+                error,
+            )
             return None
         if changes.version < after:
             return None
-        logs.event(log, "Took a table from its reader.", table=table, of=reader.name)
+        logs.event(
+            log, "Received a whole table from its reader.", table=table, of=reader.name
+        )
         return changes
 
     async def serve(self, request: Request) -> Response:
-        """Answer a process that asks for a table: its age in seconds, then the rows."""
+        """Answer a request for a table: its age in seconds, a newline, the table."""
         after = request.parameter("after", "0")
         if not after.isdigit():
             return Response(400)
@@ -165,7 +180,7 @@
         return Response(200, [], b"%.3f\n%b" % (self.age_of(copy), copy.packed_table()))
 
     async def read_shared(self, table: str, after: int) -> TableCopy | Unavailable:
-        """Read a table, or return what was read a moment ago or is being read."""
+        """Return a recent copy of a table; concurrent callers share one read."""
         copy = self.copies.get(table)
         if (
             copy
@@ -179,12 +194,12 @@
             task.add_done_callback(lambda _: self.pending_reads.pop(table, None))
         copy = await asyncio.shield(self.pending_reads[table])
         if isinstance(copy, TableCopy) and copy.changes.version < after:
-            # It was begun before the asker heard of that version.
+            # The shared read began before that version was written.
             return await self.read_from_store(table)
         return copy
 
     async def read_from_store(self, table: str) -> TableCopy | Unavailable:
-        """Read a table from the store, and keep it for a moment."""
+        """Read a table from the store, and keep the copy for a short time."""
         read_at = self.clock.monotonic()
         changes = await self.inner.snapshot(table)
         if isinstance(changes, Unavailable):
@@ -193,7 +208,7 @@
         return self.copies[table]
 
     async def run(self) -> None:
-        """Forget what nobody asks for any more, until cancelled."""
+        """Discard expired copies periodically until cancelled."""
         while True:
             await self.clock.sleep(COPY_LIFETIME_S)
             horizon = self.clock.monotonic() - COPY_LIFETIME_S
@@ -202,23 +217,23 @@
 
 
 def order_readers(table: str, processes: list[Neighbour]) -> list[Neighbour]:
-    """Return who may read a table for the others, in the order of asking.
+    """Return the processes that may read a table for others, the preferred ones first.
 
-    Each table has another order, so that one process does not read all of them, and
-    it changes little when a process comes or goes.
+    The order differs between tables (rendezvous hashing), so that the reads are spread
+    over the processes, and it changes little if a process is added or removed.
     """
-    widest = max(process.link for process in processes)
-    able = [p for p in processes if p.link >= MIN_LINK_RATIO * widest]
-    return sorted(able, key=lambda process: reader_rank(table, process.name))
+    highest = max(process.link for process in processes)
+    eligible = [p for p in processes if p.link >= MIN_LINK_RATIO * highest]
+    return sorted(eligible, key=lambda process: reader_rank(table, process.name))
 
 
 def reader_rank(table: str, name: str) -> bytes:
-    """Return what decides the place of a process among the readers of a table."""
+    """Return the sort key of a process among the readers of a table, by hash."""
     return hashlib.blake2b(f"{table}/{name}".encode(), digest_size=8).digest()
 
 
 def pack_table(changes: Changes) -> bytes:
-    """Return a table as one process hands it to another."""
+    """Encode a table for another process, as compressed JSON."""
     rows = [
         [r.table, r.key, r.version, r.value, r.part, r.readable] for r in changes.rows
     ]
@@ -227,9 +242,9 @@
 
 
 def unpack_table(body: bytes) -> Changes:
-    """Return a table that was packed; raises TypeError or ValueError."""
+    """Decode a table that was packed; raises TypeError or ValueError."""
     try:
         version, rows = json.loads(zlib.decompress(body))
     except (zlib.error, RecursionError) as error:
-        raise ValueError(f"no packed table: {error}") from error
+        raise ValueError(f"invalid packed table: {error}") from error
     return Changes([Row(*row) for row in rows], version)
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""A process that starts while the store is away learns from its neighbours."""
+"""A process that starts during an outage loads its tables from neighbours."""
 
 import asyncio
 import random
@@ -22,21 +22,23 @@
 TABLE = "settings"
 
 
-def kept_watch(store, told):
-    return Watch(store, TABLE, told.extend, told.extend, SystemClock(), keeps_rows=True)
+def make_watch(store, received):
+    return Watch(
+        store, TABLE, received.extend, received.extend, SystemClock(), keeps_rows=True
+    )
 
 
-def path(neighbours=()):
-    found = StorePath(
+def make_path(neighbours=()):
+    path = StorePath(
         ("127.0.0.1", 1), Fetcher(), SystemClock(), random.Random(1), "here", []
     )
-    found.neighbours = {n.name: n for n in neighbours}
-    found.failures = 1
-    return found
+    path.neighbours = {n.name: n for n in neighbours}
+    path.failures = 1
+    return path
 
 
-class Away(MemoryTables):
-    """A store that answers nobody until it returns."""
+class UnavailableTables(MemoryTables):
+    """Tables that are unavailable while ``away`` is set."""
 
     away = True
 
@@ -52,42 +54,44 @@
 
 
 async def serve(handler):
-    """Have a handler answer; return the server and its address."""
+    """Start a server with a handler; return the server and its address."""
     server = HttpServer(handler)
     return server, ("127.0.0.1", await server.listen("127.0.0.1", 0))
 
 
-async def neighbour(name, store):
-    """Start a process that knows what is in a store."""
-    watch = kept_watch(store, [])
+async def start_neighbour(name, store):
+    """Start a process that has read a store; return its server and address."""
+    watch = make_watch(store, [])
     await watch.poll_once()
-    bootstrap = Bootstrap([watch], path(), SystemClock())
+    bootstrap = Bootstrap([watch], make_path(), SystemClock())
     relay = Relay(bootstrap.path, {KNOWN_TABLES_PATH: bootstrap.serve})
     server, address = await serve(relay.serve)
     return server, Neighbour(name, address, "here")
 
 
-def test_the_newest_of_what_neighbours_know_is_taken_and_the_store_goes_on():
+def test_newest_copy_of_neighbours_is_loaded_and_then_updated_by_store():
     async def run():
-        store = Away()
+        store = UnavailableTables()
         await store.commit([Write(TABLE, "a", {"v": 1})])
         store.away = False
-        old_server, old = await neighbour("old", store)
+        old_server, old = await start_neighbour("old", store)
         await store.commit([Write(TABLE, "a", {"v": 2}), Write(TABLE, "b", {"v": 1})])
-        new_server, new = await neighbour("new", store)
+        new_server, new = await start_neighbour("new", store)
         store.away = True
-        told = []
-        watch = kept_watch(store, told)
-        bootstrap = Bootstrap([watch], path([old, new]), SystemClock())
+        received = []
+        watch = make_watch(store, received)
+        bootstrap = Bootstrap([watch], make_path([old, new]), SystemClock())
         await watch.poll_once()
         assert watch.version < 0
         await asyncio.wait_for(bootstrap.run(), 10)
-        assert {row.key: row.value["v"] for row in told} == {"a": 2, "b": 1}
-        assert watch.current_at == float("-inf"), "nobody said that this is current"
+        assert {row.key: row.value["v"] for row in received} == {"a": 2, "b": 1}
+        assert watch.current_at == float("-inf"), (
+            "a neighbour's copy may be out of date"
+        )
         store.away = False
         await store.commit([Write(TABLE, "b", None)])
         await watch.poll_once()
-        assert told[-1].key == "b" and told[-1].value is None
+        assert received[-1].key == "b" and received[-1].value is None
         assert [row.key for row in watch.kept_table().rows] == ["a"]
         for server in (old_server, new_server):
             await server.stop(0)
@@ -95,8 +99,8 @@
     asyncio.run(run())
 
 
-def test_nothing_known_is_replaced_by_what_a_neighbour_knows():
-    watch = kept_watch(None, [])
+def test_loaded_table_is_not_replaced_by_neighbours_copy():
+    watch = make_watch(None, [])
     assert watch.load_copy(Changes([Row(TABLE, "a", 3, {"v": 3})], 3))
     assert not watch.load_copy(Changes([Row(TABLE, "a", 9, {"v": 9})], 9))
     assert watch.kept_table().version == 3
@@ -105,20 +109,20 @@
 @pytest.mark.parametrize(
     "body", [b"", b"[]", b'{"settings": 1}', b'{"settings": {"rows": [{}]}}']
 )
-def test_a_foreign_answer_is_left_out(body):
+def test_invalid_answer_of_neighbour_is_ignored(body):
     async def run():
         async def answer(request):
             return Response(200, [], body)
 
         server, address = await serve(answer)
-        bootstrap = Bootstrap([], path(), SystemClock())
+        bootstrap = Bootstrap([], make_path(), SystemClock())
         assert await bootstrap.request_tables(Neighbour("foreign", address)) == {}
         await server.stop(0)
 
     asyncio.run(run())
 
 
-def test_a_gateway_that_starts_while_the_store_is_away_serves_callers(tmp_path):
+def test_gateway_that_starts_during_outage_serves_callers(tmp_path):
     import main
     import node_settings
 
@@ -130,7 +134,7 @@
         listen["seeds"] = f"{seed[0]}:{seed[1]}"
         file.write_text(settings_text("late", "127.0.0.1", ("127.0.0.1", 1), **listen))
         late = main.new_gateway(node_settings.load(file))
-        # Its neighbours are cut off from the store as well.
+        # Its neighbours cannot reach the store either.
         world.gateway.store.path.store = ("127.0.0.1", 1)
         world.tasks.append(asyncio.create_task(late.run()))
         await until(lambda: late.directory.routes.version and late.directory.servers)
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -1,4 +1,4 @@
-"""A write whose answer is lost is sent once more, and nothing is done twice."""
+"""A write whose answer is lost is sent again, and takes effect once."""
 
 import asyncio
 import random
@@ -17,14 +17,18 @@
 from tests.job_builders import FakeEngine, JobCluster
 
 
-class Path:
-    """Way to a store that answers, or does not."""
+class FakePath:
+    """Stands for a store path whose store answers or not."""
 
     reaches_store = True
 
 
 class LossyTables(MemoryTables):
-    """Tables that carry writes out and keep some of the answers to themselves."""
+    """Tables that carry out writes but lose some of the answers.
+
+    The script has an entry for each of the first writes: whether its answer is lost, or
+    the outcome to return; later answers are lost with a probability of ``share``.
+    """
 
     def __init__(self, script=(), share=0.0, timeout=0.5):
         super().__init__()
@@ -46,76 +50,76 @@
         return outcome
 
 
-def hedged(script=(), share=0.0, timeout=0.5):
+def make_hedged(script=(), share=0.0, timeout=0.5):
     inner = LossyTables(script, share, timeout)
-    return HedgedStore(inner, Path(), SystemClock()), inner
+    return HedgedStore(inner, FakePath(), SystemClock()), inner
 
 
-def claim():
+def claim_writes():
     return [Write("claims", "u", {"agent": "a"}, ABSENT)]
 
 
-def test_an_answer_that_is_lost_is_not_waited_for():
+def test_copy_is_sent_without_waiting_for_lost_answer():
     async def scenario():
-        store, inner = hedged([True], timeout=3600)
-        outcome = await store.commit(claim())
-        assert isinstance(outcome, Conflict), "the first copy was carried out"
+        store, inner = make_hedged([True], timeout=3600)
+        outcome = await store.commit(claim_writes())
+        assert isinstance(outcome, Conflict), "the first copy took effect"
         assert inner.calls == 2
 
     asyncio.run(scenario())
 
 
-def test_a_write_that_is_answered_is_sent_once():
+def test_answered_write_is_sent_once():
     async def scenario():
-        store, inner = hedged()
-        assert isinstance(await store.commit(claim()), Committed)
+        store, inner = make_hedged()
+        assert isinstance(await store.commit(claim_writes()), Committed)
         assert inner.calls == 1
 
     asyncio.run(scenario())
 
 
-def test_what_no_copy_settled_is_said_to_be_unknown():
+def test_outcome_is_unknown_if_all_answers_are_lost():
     async def scenario():
-        store, inner = hedged([True] * MAX_COPIES)
-        assert isinstance(await store.commit(claim()), Unknown)
+        store, inner = make_hedged([True] * MAX_COPIES)
+        assert isinstance(await store.commit(claim_writes()), Unknown)
         assert inner.calls == MAX_COPIES
 
     asyncio.run(scenario())
 
 
-def test_a_refusal_beside_a_lost_answer_is_not_taken_for_certain():
+def test_outcome_is_unknown_if_one_copy_is_lost_and_another_refused():
     async def scenario():
-        store, _ = hedged([True, Unavailable("status 503")])
-        assert isinstance(await store.commit(claim()), Unknown)
+        store, _ = make_hedged([True, Unavailable("status 503")])
+        assert isinstance(await store.commit(claim_writes()), Unknown)
 
     asyncio.run(scenario())
 
 
-def test_a_store_that_is_away_is_not_asked_twice():
+def test_no_copy_is_sent_to_unavailable_store():
     async def scenario():
-        store, inner = hedged([True])
+        store, inner = make_hedged([True])
         store.path.reaches_store = False
-        assert isinstance(await store.commit(claim()), Unknown)
+        assert isinstance(await store.commit(claim_writes()), Unknown)
         assert inner.calls == 1
-        store, inner = hedged([Unavailable("status 503")])
-        assert isinstance(await store.commit(claim()), Unavailable)
+        store, inner = make_hedged([Unavailable("status 503")])
+        assert isinstance(await store.commit(claim_writes()), Unavailable)
         assert inner.calls == 1
 
     asyncio.run(scenario())
 
 
-def test_a_store_that_is_slow_for_all_is_given_its_time():
-    answers = AverageAnswerTime()
-    answers.record(0.006)
-    assert answers.hedge_delay() == MIN_HEDGE_DELAY_S
+def test_hedge_delay_grows_with_average_answer_time():
+    answer_time = AverageAnswerTime()
+    answer_time.record(0.006)
+    assert answer_time.hedge_delay() == MIN_HEDGE_DELAY_S
     for _ in range(8):
-        answers.record(0.3)
-    assert answers.hedge_delay() == MAX_HEDGE_DELAY_S
+        answer_time.record(0.3)
+    assert answer_time.hedge_delay() == MAX_HEDGE_DELAY_S
 
 
-def test_a_step_ends_while_half_of_the_answers_are_lost():
+def test_step_ends_while_half_of_the_answers_are_lost():
     async def scenario():
-        store, _ = hedged(timeout=1.5)
+        store, _ = make_hedged(timeout=1.5)
         world = JobCluster()
         engine = FakeEngine()
         for name in "ab":
