--- a/gypsumshift/backendrequest.py
+++ b/gypsumshift/backendrequest.py
@@ -1,4 +1,4 @@
-"""Exchange: one request that a sidecar sends to its backend server."""
+"""Backend request: one request that a sidecar sends to its backend server."""
 
 import json
 
@@ -34,7 +34,7 @@
 
 
 def end_to_end_headers(headers) -> list[tuple[bytes, bytes]]:
-    """Return the header fields that are passed on from one connection to another."""
+    """Return the header fields to forward from one connection to another."""
     return [
         (name, value)
         for name, value in headers
@@ -44,14 +44,14 @@
 
 @attrs.define
 class StreamVersionReader:
-    """Reads the events of a stream to label its tokens.
+    """Labels the tokens of a streamed response with weight versions.
 
     Attributes
     ----------
     dialect : Dialect
     labeller : Labeller
-    rest : bytes
-        Begin of an event that is not complete yet.
+    incomplete : bytes
+        Start of a line that is not complete yet.
     """
 
     dialect: Dialect
@@ -59,16 +59,16 @@
     incomplete: bytes = b""
 
     def feed(self, data: bytes) -> None:
-        """Take some bytes of the stream."""
+        """Process some bytes of the stream."""
         *lines, self.incomplete = (self.incomplete + data).split(b"\n")
         if len(self.incomplete) > MAX_EVENT_BYTES:
-            raise FetchError(f"an event exceeds {MAX_EVENT_BYTES} bytes", True)
+            raise FetchError(f"event of a stream exceeds {MAX_EVENT_BYTES} bytes", True)
         for line in lines:
             if line.startswith(b"data:"):
                 self.add_event(line[5:].strip())
 
     def add_event(self, data: bytes) -> None:
-        """Take the data of one event."""
+        """Process the data of one event."""
         if data == b"[DONE]":
             return
         try:
@@ -80,23 +80,23 @@
 
     @property
     def needs_final_version(self) -> bool:
-        """Whether the version after the stream must be asked for."""
+        """Whether the version after the stream must be requested from the engine."""
         return self.labeller.bare
 
     def spans(self, after: int | None) -> list[Span]:
-        """Return the spans of a finished stream; none where a version is in doubt."""
+        """Return the spans of a finished stream; none if a version is uncertain."""
         return self.labeller.finish(after) or []
 
 
 @attrs.define
 class BodyVersionReader:
-    """Finds the weight versions that a whole answer may come from.
+    """Determines the weight versions that a response that is no stream may come from.
 
     Attributes
     ----------
     dialect : Dialect
     before : int or None
-        Version that the engine reported last before the answer.
+        Version that the engine reported last before the response.
     body : bytes
     """
 
@@ -106,33 +106,33 @@
     needs_final_version = False
 
     def feed(self, data: bytes) -> None:
-        """Take some bytes of the answer."""
+        """Process some bytes of the response."""
         if len(self.body) <= MAX_EVENT_BYTES:
             self.body += data
 
     def spans(self, after: int | None) -> list[Span]:
-        """Return empty spans that name the versions; none where none is reported."""
+        """Return empty spans with the versions; none if no version is reported."""
         try:
             version = self.dialect.piece(json.loads(self.body)).version
         except (ValueError, AttributeError, TypeError):
             return []
         if version is None:
             return []
-        # Not being a sample, it may name one version too many, never one too few.
+        # No sample is made of it: a version too many is acceptable, a missing one is not.
         earlier = {self.before} - {None}
         return [Span(0, 0, each) for each in sorted(earlier | {version})]
 
 
 @attrs.define
 class BackendResponse:
-    """An answer under way from the backend server.
+    """Response of the backend server, whose body is still being received.
 
     Attributes
     ----------
     exchange : Exchange
     head : Head
-    reader : StreamReader or WholeReader
-        Finds the weight versions in it.
+    reader : StreamVersionReader or BodyVersionReader
+        Determines the weight versions from the body.
     """
 
     exchange: Exchange
@@ -141,11 +141,11 @@
 
     @property
     def streams(self) -> bool:
-        """Whether the answer is a stream of events."""
+        """Whether the response is a stream of events."""
         return isinstance(self.reader, StreamVersionReader)
 
     async def chunks(self):
-        """Yield the body as it comes, and label it on the way."""
+        """Yield the body as it arrives, and pass it to the version reader."""
         async for data in self.exchange.chunks():
             self.reader.feed(data)
             yield data
@@ -158,7 +158,7 @@
     dialect: Dialect,
     before: int | None,
 ) -> BackendResponse:
-    """Send a request to the backend server and read the head of its answer.
+    """Send a request to the backend server and read the head of its response.
 
     Parameters
     ----------
@@ -198,5 +198,5 @@
 
 
 def distinct_versions(spans: list[Span]) -> list[int]:
-    """Return the weight versions of some spans, in order, each once."""
+    """Return the weight versions of some spans in order, without duplicates."""
     return list(dict.fromkeys(span.version for span in spans))
--- a/gypsumshift/eventstream.py
+++ b/gypsumshift/eventstream.py
@@ -1,4 +1,4 @@
-"""Event stream: whole events out of the bytes of a ``text/event-stream`` answer."""
+"""Event stream: split a ``text/event-stream`` response into its events."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -9,13 +9,14 @@
 
 
 class StreamBroken(Exception):
-    """A stream ended before its end.
+    """Raised if a stream ended early, timed out or could not be opened.
 
     Parameters
     ----------
     reason : str
+        What failed, for people.
     replaced : bool
-        Whether another server stands at the address now.
+        Whether another server now runs at the address.
     sent, closed, refused : bool
         See `FetchError`.
     """
@@ -36,38 +37,40 @@
 
     @classmethod
     def from_fetch_error(cls, error: FetchError) -> "StreamBroken":
-        """Return that a stream broke with its connection."""
+        """Return the error of a stream whose connection failed."""
         return cls(str(error), False, error.sent, error.closed, error.refused)
 
 
-async def iter_events(exchange: Exchange, silence: float) -> AsyncIterator[bytes]:
-    """Yield the bytes of each whole event, without the empty line behind it.
+async def iter_events(exchange: Exchange, idle_timeout: float) -> AsyncIterator[bytes]:
+    """Yield the bytes of each complete event, without the empty line after it.
 
     Parameters
     ----------
     exchange : Exchange
-    silence : float
-        Seconds without a byte after which the stream is taken for dead.
+    idle_timeout : float
+        Seconds without data after which the stream counts as broken.
 
     Raises
     ------
     StreamBroken
-        The stream ended early, or inside an event.
+        The stream ended early or inside an event, or no data came for too long.
     """
     rest = b""
     chunks = exchange.chunks()
     while True:
         try:
-            async with asyncio.timeout(silence):
+            async with asyncio.timeout(idle_timeout):
                 data = await anext(chunks, None)
         except FetchError as error:
             raise StreamBroken.from_fetch_error(error) from error
         except TimeoutError as error:
-            raise StreamBroken("no event in time") from error
+            raise StreamBroken(
+                f"no data of the stream within {idle_timeout} s"
+            ) from error
         if data is None:
             break
-        *whole, rest = (rest + data).replace(b"\r\n", b"\n").split(b"\n\n")
-        for block in whole:
+        *complete, rest = (rest + data).replace(b"\r\n", b"\n").split(b"\n\n")
+        for block in complete:
             if block.strip():
                 yield block
     if rest.strip():
@@ -75,7 +78,7 @@
 
 
 def event_field(block: bytes, name: str) -> str:
-    """Return the first field of that name in an event; ``""`` where it has none."""
+    """Return the first field of a name in an event, or ``""`` if there is none."""
     for line in block.decode("utf-8", "replace").split("\n"):
         key, _, value = line.partition(":")
         if key == name:
--- a/gypsumshift/httpclient.py
+++ b/gypsumshift/httpclient.py
@@ -1,7 +1,7 @@
-"""Fetch: HTTP/1.1 towards backend servers and the platform, by h11.
+"""HTTP client: HTTP/1.1 to backend servers and to the platform, based on h11.
 
-One exchange owns its connection. A connection is used again only after both
-sides of an exchange ended cleanly and nothing unread is left on it.
+Each exchange has a connection of its own. A connection is reused only if both sides of
+the exchange ended cleanly and no unread data is left on it.
 """
 
 import asyncio
@@ -22,16 +22,16 @@
 
 MAX_IDLE_PER_ADDRESS = 64
 CONNECT_TIMEOUT_S = 2.0
-# Seconds for which an idle connection is used again where the server does not
-# say; common servers keep one for five.
+# Time for which an idle connection may be reused if the server does not announce a
+# time-out; common servers keep idle connections for 5 s.
 IDLE_TIMEOUT_S = 4.0
-# Part of the time a server grants that is left unused, for the way there.
+# Used fraction of the time-out that a server announces; the rest allows for latency.
 IDLE_SHARE = 0.8
 
 
 @attrs.frozen
 class FetchedResponse:
-    """A whole answer.
+    """Complete response.
 
     Attributes
     ----------
@@ -46,20 +46,21 @@
 
 
 class Fetcher:
-    """HTTP client with connections per address; owns them all.
+    """HTTP client with a pool of connections for each address.
 
     Parameters
     ----------
-    resets : bool
-        Whether a connection that is cut delivers nothing any more: else what was sent
-        into a cut network may arrive long after it was given up.
+    reset_on_close : bool
+        Whether to reset connections when they are closed, which discards unsent data.
+        Otherwise data sent into a broken network may arrive long after the request was
+        given up.
 
     Attributes
     ----------
     idle : dict
-        Connections that wait for their next exchange, by address.
-    used : dict
-        Connections in an exchange, by address.
+        Connections without an exchange, by address.
+    in_use : dict
+        Connections with an exchange in progress, by address.
     """
 
     def __init__(self, reset_on_close: bool = False):
@@ -70,48 +71,50 @@
     async def connect(
         self, address: tuple[str, int], timeout: float = CONNECT_TIMEOUT_S
     ) -> ClientConnection:
-        """Open a connection; failing that, nothing was sent."""
+        """Open a connection; a `FetchError` means that nothing was sent."""
         try:
             async with asyncio.timeout(timeout):
                 return ClientConnection(
                     *await asyncio.open_connection(*address), self.reset_on_close
                 )
         except (OSError, TimeoutError) as error:
-            reason = f"no connection to {address[0]}:{address[1]}: {error}"
+            reason = f"connection to {address[0]}:{address[1]} failed: {error}"
             refused = isinstance(error, ConnectionRefusedError)
             raise FetchError(reason, False, refused=refused) from error
 
     async def is_connection_refused(
         self, address: tuple[str, int], timeout: float
     ) -> bool:
-        """Tell whether nobody listens at an address; one that is silent may be cut off.
+        """Return whether connections to an address are refused: no process listens.
 
+        A host that does not answer counts as not refusing, since it may be unreachable.
         A connection that this opens is kept for the next exchange.
         """
         try:
-            wire = await self.connect(address, timeout)
+            connection = await self.connect(address, timeout)
         except FetchError as error:
             return error.refused
-        self.keep_idle(address, wire, IDLE_TIMEOUT_S)
+        self.keep_idle(address, connection, IDLE_TIMEOUT_S)
         return False
 
     def take_idle(self, address: tuple[str, int]) -> ClientConnection | None:
-        """Return an idle connection that is still clean."""
-        wires = self.idle.get(address, [])
-        while wires:
-            wire = wires.pop()
-            fresh = asyncio.get_running_loop().time() < wire.idle_until
-            if fresh and wire.has_nothing_unread():
-                return wire
-            wire.close()
+        """Return an idle connection that can be reused; close the others."""
+        connections = self.idle.get(address, [])
+        while connections:
+            connection = connections.pop()
+            fresh = asyncio.get_running_loop().time() < connection.idle_until
+            if fresh and connection.has_nothing_unread():
+                return connection
+            connection.close()
         return None
 
     def has_idle_connection(self, address: tuple[str, int]) -> bool:
-        """Tell whether a connection lies idle that may be used again."""
+        """Return whether there is an idle connection that can be reused."""
         now = asyncio.get_running_loop().time()
-        wires = self.idle.get(address, ())
+        connections = self.idle.get(address, ())
         return any(
-            wire.idle_until > now and wire.has_nothing_unread() for wire in wires
+            connection.idle_until > now and connection.has_nothing_unread()
+            for connection in connections
         )
 
     async def open(
@@ -126,7 +129,7 @@
         connect_timeout: float = CONNECT_TIMEOUT_S,
         allowed: Callable[[], bool] | None = None,
     ) -> Exchange:
-        """Send a request and read the head of its answer.
+        """Send a request and read the head of its response.
 
         Parameters
         ----------
@@ -134,17 +137,18 @@
             IP number and port.
         method, target : str
         headers : list of (name, value)
-            Without those about the connection and the length.
+            Without those that concern the connection or the length of the body.
         body : bytes
         fresh : bool
-            Open a new connection: one that lay idle may turn out closed only
-            after the request was sent, which leaves its fate unknown.
+            Whether to open a new connection. An idle one may turn out to be closed
+            only after the request was sent, so that its outcome is unknown.
         host : str
-            Host header field; the address by default.
+            Value of the Host header; the address by default.
         connect_timeout : float
             Seconds.
         allowed : callable or None
-            Asked right before the first byte is sent.
+            Called right before the first byte is sent; if it returns False, the
+            request is not sent.
 
         Returns
         -------
@@ -154,42 +158,44 @@
         Raises
         ------
         FetchError
-            ``sent`` tells whether the server may have seen the request.
-        Withheld
-            It is not allowed any more.
+            ``sent`` tells whether the server may have received the request.
+        RequestWithheld
+            ``allowed`` returned False.
         """
-        wire = None if fresh else self.take_idle(address)
-        if wire is None:
-            wire = await self.connect(address, connect_timeout)
+        connection = None if fresh else self.take_idle(address)
+        if connection is None:
+            connection = await self.connect(address, connect_timeout)
             reused = False
         else:
             reused = True
         if allowed is not None and not allowed():
-            self.keep_idle(address, wire, IDLE_TIMEOUT_S)
+            self.keep_idle(address, connection, IDLE_TIMEOUT_S)
             raise RequestWithheld
-        exchange = Exchange(self, address, wire)
+        exchange = Exchange(self, address, connection)
         exchange.reused = reused
-        wire.repeatable = not fresh
-        self.in_use.setdefault(address, set()).add(wire)
+        connection.repeatable = not fresh
+        self.in_use.setdefault(address, set()).add(connection)
         fields = [("host", host or f"{address[0]}:{address[1]}"), *headers]
         fields.append(("content-length", str(len(body))))
         try:
             request = h11.Request(method=method, target=target, headers=fields)
-            data = wire.state.send(request)
+            data = connection.state.send(request)
         except h11.LocalProtocolError as error:
-            self.close_failed(address, wire)
-            raise FetchError(f"the request is malformed: {error}", False) from error
+            self.close_failed(address, connection)
+            raise FetchError(
+                f"request not sent, it is malformed: {error}", False
+            ) from error
         if body:
-            data += wire.state.send(h11.Data(body))
-        data += wire.state.send(h11.EndOfMessage())
+            data += connection.state.send(h11.Data(body))
+        data += connection.state.send(h11.EndOfMessage())
         try:
-            wire.writer.write(data)
-            await wire.writer.drain()
+            connection.writer.write(data)
+            await connection.writer.drain()
             await exchange.read_head()
         except BaseException as error:
-            self.close_failed(address, wire)
+            self.close_failed(address, connection)
             if isinstance(error, ConnectionError):
-                reason = f"the connection broke: {error}"
+                reason = f"connection broke before the response: {error}"
                 raise FetchError(reason, True, reused, closed=True) from error
             if isinstance(error, FetchError):
                 error.reused = reused
@@ -206,7 +212,7 @@
         timeout=10.0,
         allowed: Callable[[], bool] | None = None,
     ) -> FetchedResponse:
-        """Send a request and return its whole answer, within ``timeout`` seconds.
+        """Send a request and return its complete response, within ``timeout`` seconds.
 
         The other parameters are those of `open`.
         """
@@ -219,65 +225,71 @@
                     content = await exchange.read()
                     return FetchedResponse(exchange.status, exchange.headers, content)
         except TimeoutError as error:
-            raise FetchError("no answer in time", True) from error
+            raise FetchError(
+                f"no complete response within {timeout} s", True
+            ) from error
 
     def release(self, exchange: Exchange) -> None:
-        """Keep the connection of an exchange where it is clean, else cut it."""
-        wire = exchange.connection
-        self.remove_in_use(exchange.address, wire)
-        if not wire.is_reusable():
-            wire.close()
+        """Keep the connection of an exchange if it can be reused, else close it."""
+        connection = exchange.connection
+        self.remove_in_use(exchange.address, connection)
+        if not connection.is_reusable():
+            connection.close()
             return
-        wire.state.start_next_cycle()
+        connection.state.start_next_cycle()
         granted = keep_alive_seconds(exchange.header(b"keep-alive"))
-        self.keep_idle(exchange.address, wire, granted)
+        self.keep_idle(exchange.address, connection, granted)
 
     def keep_idle(
-        self, address: tuple[str, int], wire: ClientConnection, seconds: float
+        self, address: tuple[str, int], connection: ClientConnection, seconds: float
     ) -> None:
-        """Keep a clean connection for so long, unless many are kept already."""
-        wires = self.idle.setdefault(address, [])
-        if len(wires) >= MAX_IDLE_PER_ADDRESS:
-            wire.close()
+        """Keep an idle connection for some seconds, up to the limit per address."""
+        connections = self.idle.setdefault(address, [])
+        if len(connections) >= MAX_IDLE_PER_ADDRESS:
+            connection.close()
             return
-        wire.idle_until = asyncio.get_running_loop().time() + seconds
-        wires.append(wire)
-
-    def close_failed(self, address: tuple[str, int], wire: ClientConnection) -> None:
-        """Cut a connection whose exchange failed."""
-        self.remove_in_use(address, wire)
-        wire.close()
-
-    def remove_in_use(self, address: tuple[str, int], wire: ClientConnection) -> None:
-        """Take that a connection's exchange has ended."""
-        wires = self.in_use.get(address, set())
-        wires.discard(wire)
-        if not wires:
+        connection.idle_until = asyncio.get_running_loop().time() + seconds
+        connections.append(connection)
+
+    def close_failed(
+        self, address: tuple[str, int], connection: ClientConnection
+    ) -> None:
+        """Close a connection whose exchange failed."""
+        self.remove_in_use(address, connection)
+        connection.close()
+
+    def remove_in_use(
+        self, address: tuple[str, int], connection: ClientConnection
+    ) -> None:
+        """Remove a connection whose exchange has ended from those in use."""
+        connections = self.in_use.get(address, set())
+        connections.discard(connection)
+        if not connections:
             self.in_use.pop(address, None)
 
     def close_connections(self, address: tuple[str, int]) -> None:
-        """Cut the connections to a server that started again.
+        """Close the connections to a server that has restarted.
 
-        Whatever ran there is at no server any more, and nothing that is still to come
-        on an idle connection belongs to anyone. Not those of requests that may not be
-        repeated: one that was opened to the new start already would lose its answer.
+        Its requests were lost with the old process, and idle connections to that
+        process are useless. Connections of requests that must not be repeated stay
+        open: one may already lead to the new process, and its response would be lost.
         """
-        for wire in self.idle.pop(address, []):
-            wire.close()
-        for wire in list(self.in_use.get(address, ())):
-            if wire.repeatable:
-                wire.close()
+        for connection in self.idle.pop(address, []):
+            connection.close()
+        for connection in list(self.in_use.get(address, ())):
+            if connection.repeatable:
+                connection.close()
 
     def close_idle(self) -> None:
-        """Cut all idle connections."""
-        for wires in self.idle.values():
-            for wire in wires:
-                wire.close()
+        """Close all idle connections."""
+        for connections in self.idle.values():
+            for connection in connections:
+                connection.close()
         self.idle.clear()
 
 
 def keep_alive_seconds(field: str) -> float:
-    """Return the seconds for which a connection may lie idle by its header field."""
+    """Return the seconds for which a connection may stay idle by its Keep-Alive."""
     for parameter in field.split(","):
         name, _, value = parameter.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
--- a/gypsumshift/httpconnection.py
+++ b/gypsumshift/httpconnection.py
@@ -1,4 +1,4 @@
-"""Wire: one connection to an HTTP server, and one exchange on it, by h11."""
+"""HTTP connections of the client, and exchanges on them, based on h11."""
 
 import socket
 import struct
@@ -8,29 +8,29 @@
 __all__ = ["Exchange", "FetchError", "ClientConnection", "RequestWithheld"]
 
 READ_SIZE_BYTES = 64 * 1024
-# Socket option: what was not sent yet is dropped with the connection, and the other
-# side is told so by a reset.
+# Value of SO_LINGER (on, 0 s): closing the socket discards unsent data and resets the
+# connection.
 LINGER_RESET = struct.pack("ii", 1, 0)
 MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 class FetchError(Exception):
-    """An exchange failed.
+    """Raised if an HTTP exchange failed.
 
     Parameters
     ----------
     reason : str
-        What failed.
+        What failed, for people.
     sent : bool
         Whether any byte of the request may have reached the server.
     reused : bool
-        Whether the connection had lain idle before and broke before an answer:
-        the server may have closed it before the request came.
+        Whether a reused idle connection broke before the response: the server may
+        have closed it before the request arrived.
     closed : bool
-        Whether the server ended the connection, as one that ends does with all of its
-        own; one that keeps silent, or sends what is no answer, has not.
+        Whether the server closed the connection, as a process does with all of its
+        connections when it ends. False if it does not answer or sends invalid data.
     refused : bool
-        Whether nobody listens at the address.
+        Whether the connection was refused because no process listens at the address.
     """
 
     def __init__(
@@ -49,48 +49,73 @@
 
 
 class RequestWithheld(FetchError):
-    """A request was not sent, since it may not be any more."""
+    """Raised if the caller's check right before sending did not allow the request."""
 
     def __init__(self):
-        super().__init__("the request may not be sent any more", False)
+        super().__init__("request not sent, it is no longer allowed", False)
 
 
 class ClientConnection:
-    """One connection with its HTTP state."""
+    """One connection of the client with its HTTP state.
+
+    Parameters
+    ----------
+    reader : asyncio.StreamReader
+    writer : asyncio.StreamWriter
+    reset_on_close : bool
+        Whether closing discards unsent data and resets the connection.
+
+    Attributes
+    ----------
+    state : h11.Connection
+    idle_until : float
+        Time until which an idle connection may be reused, by the clock of the loop.
+    repeatable : bool
+        Whether the request on it may be repeated.
+    """
 
     def __init__(self, reader, writer, reset_on_close: bool = False):
         self.reader = reader
         self.writer = writer
         if reset_on_close:
-            wire = writer.get_extra_info("socket")
-            wire.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+            sock = writer.get_extra_info("socket")
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.state = h11.Connection(h11.CLIENT)
         self.idle_until = 0.0
         self.repeatable = True
 
     def is_reusable(self) -> bool:
-        """Tell whether another exchange may follow on this connection."""
+        """Return whether another exchange may follow on this connection."""
         done = self.state.our_state is h11.DONE and self.state.their_state is h11.DONE
         return done and not self.state.trailing_data[0] and self.has_nothing_unread()
 
     def has_nothing_unread(self) -> bool:
-        """Tell whether nothing has come since the last exchange, no end either."""
+        """Return whether neither data nor the end of the stream is waiting."""
         buffered = getattr(self.reader, "_buffer", b"")
         return not buffered and not self.reader.at_eof()
 
     def close(self) -> None:
-        """Cut the connection."""
+        """Close the connection at once."""
         self.writer.transport.abort()
 
 
 class Exchange:
-    """One request and its answer as it comes.
+    """One request and its response, which is read as it arrives.
 
     Parameters
     ----------
     fetcher : Fetcher
     address : (str, int)
-    wire : Wire
+    connection : ClientConnection
+
+    Attributes
+    ----------
+    status : int
+    headers : list of (bytes, bytes)
+    complete : bool
+        Whether the body was read up to its end.
+    reused : bool
+        Whether the connection had served an exchange before.
     """
 
     def __init__(self, fetcher, address, connection):
@@ -103,12 +128,12 @@
         self.reused = False
 
     def header(self, name: bytes) -> str:
-        """Return a header field of the answer by its lower-case name, or ``""``."""
+        """Return a header field of the response by its lower-case name, or ``""``."""
         values = (v for k, v in self.headers if k == name)
         return next(values, b"").decode("latin-1")
 
     async def next_event(self):
-        """Return the next event of the answer."""
+        """Return the next h11 event of the response."""
         data = None
         try:
             while True:
@@ -118,44 +143,44 @@
                 data = await self.connection.reader.read(READ_SIZE_BYTES)
                 self.connection.state.receive_data(data)
         except h11.RemoteProtocolError as error:
-            reason = f"the answer broke: {error}"
+            reason = f"invalid response: {error}"
             raise FetchError(reason, True, closed=data == b"") from error
         except ConnectionError as error:
-            reason = f"the answer broke: {error}"
+            reason = f"connection broke during the response: {error}"
             raise FetchError(reason, True, closed=True) from error
 
     async def read_head(self) -> None:
-        """Read up to the answer's header fields."""
+        """Read the status and header fields of the response."""
         event = await self.next_event()
         while isinstance(event, h11.InformationalResponse):
             event = await self.next_event()
         if not isinstance(event, h11.Response):
-            reason = "the connection closed before the answer"
+            reason = "connection closed before the response"
             raise FetchError(reason, True, closed=True)
         self.status = event.status_code
         self.headers = list(event.headers)
 
     async def chunks(self):
-        """Yield the body as it comes; an unfinished body raises `FetchError`."""
+        """Yield the body as it arrives; raise `FetchError` if it is incomplete."""
         while True:
             event = await self.next_event()
             if isinstance(event, h11.EndOfMessage):
                 self.complete = True
                 return
             if not isinstance(event, h11.Data):
-                reason = "the answer ended before its end"
+                reason = "connection closed before the end of the response"
                 raise FetchError(reason, True, closed=True)
             yield bytes(event.data)
 
     async def read(self) -> bytes:
-        """Return the whole body."""
+        """Return the complete body."""
         parts = bytearray()
         async for data in self.chunks():
             parts += data
             if len(parts) > MAX_BODY_BYTES:
-                raise FetchError(f"the answer exceeds {MAX_BODY_BYTES} bytes", True)
+                raise FetchError(f"response body exceeds {MAX_BODY_BYTES} bytes", True)
         return bytes(parts)
 
     def close(self) -> None:
-        """Give the connection back where it is clean, else cut it."""
+        """Return the connection to the client for reuse if it can be reused."""
         self.fetcher.release(self)
--- a/gypsumshift/httpserver.py
+++ b/gypsumshift/httpserver.py
@@ -1,4 +1,4 @@
-"""Server: HTTP/1.1 towards callers, trainers and operators, by h11."""
+"""HTTP server: HTTP/1.1 for callers, trainers and operators, based on h11."""
 
 import asyncio
 import json
@@ -32,12 +32,12 @@
 
 
 class ResponseAborted(Exception):
-    """Raised by a body in the making: the answer cannot be completed."""
+    """Raised by the iterator of a streamed body that cannot be completed."""
 
 
 @attrs.define
 class Request:
-    """One request, read whole.
+    """One request with its complete body.
 
     Attributes
     ----------
@@ -59,11 +59,11 @@
 
     @property
     def target(self) -> str:
-        """Path and query as they came."""
+        """Path and query as received."""
         return f"{self.path}?{self.query}" if self.query else self.path
 
     def header(self, name: str, default: str = "") -> str:
-        """Return the first header field of that lower-case name."""
+        """Return the first header field with a lower-case name."""
         return next((value for key, value in self.headers if key == name), default)
 
     def parameter(self, name: str, default: str = "") -> str:
@@ -73,17 +73,18 @@
 
 @attrs.define
 class Response:
-    """One answer.
+    """One response.
 
     Attributes
     ----------
     status : int
     headers : list of (str, str)
     body : bytes or async iterator of bytes
-        An iterator is sent as it comes; `Abandon` from it cuts the connection,
-        so that a part is never taken for the whole.
+        The chunks of an iterator are sent as they arrive. If it raises
+        `ResponseAborted`, the connection is closed without the final chunk, so that
+        the caller does not mistake a partial body for a complete one.
     trailers : callable
-        Called after a streamed body; returns header fields to send behind it.
+        Called after a streamed body; returns the trailer fields to send.
     """
 
     status: int
@@ -96,7 +97,7 @@
 
 
 def json_response(status: int, value: object) -> Response:
-    """Return an answer that carries a value as JSON."""
+    """Return a response with a value as JSON."""
     body = json.dumps(value).encode() + b"\n"
     return Response(status, [("content-type", "application/json")], body)
 
@@ -109,7 +110,7 @@
     status : int
         HTTP status code.
     outcome : {'not run', 'unknown', 'answered'}
-        What became of the request.
+        Result of the request.
     detail : str
         One sentence for people.
     **members
@@ -132,12 +133,12 @@
     handler : callable
         Takes a `Request`, returns a `Response`.
     body_limit : int
-        Bytes of a request's body that are taken.
+        Maximum size of a request's body.
 
     Attributes
     ----------
     leaving : bool
-        Whether answers ask callers to take another connection.
+        Whether responses tell callers to use another connection (`connection: close`).
     """
 
     def __init__(self, handler: Handler, max_body_bytes: int = MAX_BODY_BYTES):
@@ -149,14 +150,14 @@
         self.closing = False
 
     async def listen(self, host: str, port: int) -> int:
-        """Listen on an address; return the port taken."""
+        """Listen on an address; return the port, which may have been chosen freely."""
         self.listener = await asyncio.start_server(
             self.accept, host, port, backlog=4096
         )
         return self.listener.sockets[0].getsockname()[1]
 
     def accept(self, reader, writer) -> None:
-        """Serve a connection in a task of its own."""
+        """Start a task that serves a connection; close it if there are too many."""
         if self.closing or len(self.connections) >= MAX_CONNECTIONS:
             writer.close()
             return
@@ -164,7 +165,7 @@
         task = asyncio.create_task(self.serve_connection(connection))
         self.connections[task] = connection
         task.add_done_callback(self.connections.pop)
-        # A task that is cancelled before it began never gets to its own end.
+        # A task that is cancelled before it starts does not run its finally clause.
         task.add_done_callback(lambda _: writer.close())
 
     async def serve_connection(self, connection: "ServerConnection") -> None:
@@ -177,7 +178,7 @@
             connection.writer.close()
 
     async def stop(self, grace: float) -> None:
-        """Take no new connection; wait for running requests up to ``grace`` seconds."""
+        """Stop listening; wait up to ``grace`` seconds for requests in progress."""
         self.closing = True
         if self.listener:
             await close_listener(self.listener)
@@ -191,11 +192,11 @@
 
 
 class ServerConnection:
-    """One connection of a server; handles one request after another.
+    """One connection of a server; serves its requests one after another.
 
     Parameters
     ----------
-    server : Server
+    server : HttpServer
     reader : asyncio.StreamReader
     writer : asyncio.StreamWriter
     """
@@ -211,7 +212,7 @@
         self.busy = False
 
     async def run(self) -> None:
-        """Serve requests until either side closes."""
+        """Serve requests until either side closes the connection."""
         try:
             while await self.serve_request():
                 if self.state.our_state is h11.MUST_CLOSE or self.server.closing:
@@ -237,7 +238,7 @@
         return self.state.our_state in (h11.DONE, h11.MUST_CLOSE)
 
     async def read_request(self) -> Request | None:
-        """Read a request whole; None where the connection ended instead."""
+        """Read a complete request; return None if the connection ended instead."""
         head = await self.next_event(IDLE_TIMEOUT_S)
         if not isinstance(head, h11.Request):
             return None
@@ -260,21 +261,21 @@
         return Request(head.method.decode(), path, query, headers, bytes(body))
 
     async def next_event(self, timeout: float):
-        """Return the next event of the peer; reads as needed."""
+        """Return the next h11 event of the peer, reading as needed."""
         event = self.state.next_event()
         if event is not h11.NEED_DATA:
             return event
         async with asyncio.timeout(timeout):
             while event is h11.NEED_DATA:
                 if self.state.they_are_waiting_for_100_continue:
-                    go_on = h11.InformationalResponse(status_code=100, headers=[])
-                    self.writer.write(self.state.send(go_on))
+                    interim = h11.InformationalResponse(status_code=100, headers=[])
+                    self.writer.write(self.state.send(interim))
                 self.state.receive_data(await self.read())
                 event = self.state.next_event()
         return event
 
     async def read(self) -> bytes:
-        """Read some bytes, through the read that may be pending already."""
+        """Read some bytes; use the pending read if there is one."""
         if self.pending_read is None:
             self.pending_read = asyncio.ensure_future(self.reader.read(READ_SIZE_BYTES))
         data = await asyncio.shield(self.pending_read)
@@ -282,7 +283,7 @@
         return data
 
     async def run_handler(self, request: Request) -> Response | None:
-        """Run the handler; None where the caller went away meanwhile."""
+        """Run the handler; return None if the caller closed the connection."""
         handling = asyncio.ensure_future(self.server.handler(request))
         buffered = 0
         try:
@@ -313,17 +314,19 @@
                 await asyncio.wait({handling})
 
     def handler_result(self, handling: asyncio.Future) -> Response:
-        """Return what a handler returned; an error of its own ends one request only."""
+        """Return a handler's response, or status 500 if it raised an exception."""
         try:
             return handling.result()
         except Exception as error:
-            log.exception("A handler failed: {!r}.", error)
+            log.exception(
+                "Request handler failed, answered with status 500: {!r}.", error
+            )
             return problem_response(
                 500, "unknown", "an error inside this process; see its log"
             )
 
     async def send_response(self, response: Response, method: str) -> bool:
-        """Send an answer; return whether it is whole."""
+        """Send a response; return whether it was sent completely."""
         headers = list(response.headers)
         streamed = not isinstance(response.body, bytes)
         if streamed:
@@ -343,14 +346,14 @@
         return await self.send_stream(response)
 
     async def send_stream(self, response: Response) -> bool:
-        """Send a streamed body with its trailers; return whether it is whole."""
+        """Send a streamed body with its trailers; return whether it was completed."""
         try:
             async for data in response.body:
                 if data:
                     self.writer.write(self.state.send(h11.Data(data)))
                     await self.writer.drain()
         except ResponseAborted as reason:
-            log.info("Cut a streamed answer: {}.", reason)
+            log.info("Streamed response aborted, connection closed: {}.", reason)
             return False
         finally:
             await response.body.aclose()
@@ -360,7 +363,7 @@
         return True
 
     async def send_error(self, status: int, detail: str) -> None:
-        """Answer a request that cannot be read, and close."""
+        """Answer a request that cannot be read with an error, and close."""
         if self.state.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         response = problem_response(status, "not run", detail)
--- a/gypsumshift/listeners.py
+++ b/gypsumshift/listeners.py
@@ -1,19 +1,20 @@
-"""Listeners: close a listening socket without losing a connection on its way."""
+"""Listeners: close a listening socket without leaking connections just accepted."""
 
 import asyncio
 
 __all__ = ["close_listener"]
 
-# Turns of the loop in which asyncio makes the protocol of a connection it has taken.
+# Iterations of the event loop after which asyncio has created the protocol of an
+# accepted connection.
 ACCEPT_LOOP_TURNS = 3
 
 
 async def close_listener(listener: asyncio.Server) -> None:
-    """Take no more connections, let those be made that are being taken, then close.
+    """Stop accepting, let asyncio finish accepted connections, then close.
 
-    asyncio forgets a connection whose protocol is made after its listener was
-    closed, and leaves its socket open: the caller waited for nothing, in 11 of 600
-    tries under load.
+    If the protocol of an accepted connection is created after its listener was closed,
+    asyncio drops the connection but leaves the socket open. The caller then waited in
+    vain, in 11 of 600 attempts under load.
     """
     loop = asyncio.get_running_loop()
     for listening in listener.sockets:
--- a/gypsumshift/poller.py
+++ b/gypsumshift/poller.py
@@ -1,4 +1,4 @@
-"""Poller: what a process reads of the platform for itself, and for others."""
+"""Poller: periodic reads of the platform for one process and its neighbours."""
 
 import json
 
@@ -8,20 +8,31 @@
 
 __all__ = ["LEAVING_PREFIX", "WEIGHTS_PREFIX", "Poller"]
 
+# Time between two reads of the heads and of the list of hosts.
 HEADS_PERIOD_S = 0.5
 HOSTS_PERIOD_S = 10.0
+# Time between two attempts to load a first revision.
 STARTUP_RETRY_PERIOD_S = 0.2
+# Number of neighbours that must have reported a revision before a process that has none
+# and cannot read the platform may start with the newest one reported.
 MIN_REVISION_REPORTS = 2
 WEIGHTS_PREFIX = "weights/"
 LEAVING_PREFIX = "leaving/"
 
 
 class Poller:
-    """Reads the platform for one process.
+    """Reads revisions, weight versions and the list of hosts from the platform.
 
     Parameters
     ----------
     process : Process
+        Receives what was read.
+
+    Attributes
+    ----------
+    head_seen : int or None
+        Newest revision by the platform when this process started; None if the platform
+        has not answered yet.
     """
 
     def __init__(self, process):
@@ -31,7 +42,7 @@
         self.head_seen: int | None = None
 
     async def load_first_revision(self) -> None:
-        """Learn a revision to begin with, from the platform."""
+        """Load a first revision from the platform, retrying until there is one."""
         process = self.process
         while not process.in_force.ready:
             head = await process.history.head()
@@ -42,19 +53,19 @@
                 await process.clock.sleep(STARTUP_RETRY_PERIOD_S)
 
     def may_start_with(self, number: int) -> bool:
-        """Tell whether a process without a revision may begin with this one.
+        """Return whether a process without a revision may start with this one.
 
-        It may where the platform said that none is newer, or several neighbours
-        did: a single neighbour may have been cut off for long.
+        It may if the platform or several neighbours reported no newer one. A single
+        neighbour is not enough, since it may have been disconnected for long.
         """
         if self.head_seen is not None:
             return number >= self.head_seen
         known = self.process.view.known.values()
-        told = [each.revision for each in known if each.revision >= 0]
-        return len(told) >= MIN_REVISION_REPORTS and number >= max(told)
+        reported = [each.revision for each in known if each.revision >= 0]
+        return len(reported) >= MIN_REVISION_REPORTS and number >= max(reported)
 
     async def load_revision(self, number: int) -> None:
-        """Read a revision from the platform and put it in force."""
+        """Read a revision from the platform and apply it if it is newer."""
         if number <= self.process.in_force.number:
             return
         accepted = await self.process.history.get(number)
@@ -63,7 +74,7 @@
         self.process.adopt(number, json.dumps(accepted.declarations))
 
     async def run(self) -> None:
-        """Announce this process; read heads and hosts where that is its task."""
+        """Announce this process, and read heads and hosts if it is assigned to."""
         process = self.process
         hosts_due = 0.0
         announced = False
@@ -78,13 +89,13 @@
             await process.clock.sleep(HEADS_PERIOD_S)
 
     async def announce(self) -> bool:
-        """Put this process on the platform's list; return whether it worked."""
+        """Add this process to the platform's list of hosts; return whether it is there."""
         own = self.process.own
         host = Host(own.name, f"{own.host}:{own.port}", own.zone)
         return not isinstance(await self.hosts.announce(host), Unavailable)
 
     async def read_heads(self) -> None:
-        """Read the newest revision and weight versions, in one scan."""
+        """Read the newest revision and the weight versions in one scan."""
         rows = await self.tables.scan(HEADS_TABLE, "")
         if isinstance(rows, Unavailable):
             return
