--- a/gypsumshift/backendrequest.py
+++ b/gypsumshift/backendrequest.py
@@ -118,7 +118,7 @@
             return []
         if version is None:
             return []
-        # No sample is made of it: a version too many is acceptable, a missing one is not.
+        # No sample is made of it: an extra version is harmless, a missing one is not.
         earlier = {self.before} - {None}
         return [Span(0, 0, each) for each in sorted(earlier | {version})]
 
--- a/gypsumshift/httpclient.py
+++ b/gypsumshift/httpclient.py
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class FetchedResponse:
-    """Complete response.
+    """Status, header fields and complete body of a response.
 
     Attributes
     ----------
@@ -134,7 +134,7 @@
         Parameters
         ----------
         address : (str, int)
-            IP number and port.
+            IP address and port.
         method, target : str
         headers : list of (name, value)
             Without those that concern the connection or the length of the body.
--- a/gypsumshift/httpserver.py
+++ b/gypsumshift/httpserver.py
@@ -12,10 +12,10 @@
 from gypsumshift.listeners import close_listener
 
 __all__ = [
-    "ResponseAborted",
+    "HttpServer",
     "Request",
     "Response",
-    "HttpServer",
+    "ResponseAborted",
     "json_response",
     "problem_response",
 ]
@@ -63,11 +63,11 @@
         return f"{self.path}?{self.query}" if self.query else self.path
 
     def header(self, name: str, default: str = "") -> str:
-        """Return the first header field with a lower-case name."""
+        """Return the first value of a header field, by its lower-case name."""
         return next((value for key, value in self.headers if key == name), default)
 
     def parameter(self, name: str, default: str = "") -> str:
-        """Return a parameter of the query."""
+        """Return the first value of a parameter of the query."""
         return urllib.parse.parse_qs(self.query).get(name, [default])[0]
 
 
@@ -138,7 +138,7 @@
     Attributes
     ----------
     leaving : bool
-        Whether responses tell callers to use another connection (`connection: close`).
+        Whether responses tell callers to use another connection (``connection: close``).
     """
 
     def __init__(self, handler: Handler, max_body_bytes: int = MAX_BODY_BYTES):
@@ -150,7 +150,7 @@
         self.closing = False
 
     async def listen(self, host: str, port: int) -> int:
-        """Listen on an address; return the port, which may have been chosen freely."""
+        """Listen on an address; return the port, which the system chooses for 0."""
         self.listener = await asyncio.start_server(
             self.accept, host, port, backlog=4096
         )
--- a/gypsumshift/poller.py
+++ b/gypsumshift/poller.py
@@ -89,7 +89,7 @@
             await process.clock.sleep(HEADS_PERIOD_S)
 
     async def announce(self) -> bool:
-        """Add this process to the platform's list of hosts; return whether it is there."""
+        """Add this process to the platform's list of hosts; return success."""
         own = self.process.own
         host = Host(own.name, f"{own.host}:{own.port}", own.zone)
         return not isinstance(await self.hosts.announce(host), Unavailable)
--- a/gypsumshift/watch.py
+++ b/gypsumshift/watch.py
@@ -179,7 +179,7 @@
         return self.accept_answer(answer, whole)
 
     def accept_answer(self, answer: Changes, whole: bool) -> bool:
-        """Apply an answer unless it is older than the copy; return whether it was."""
+        """Apply an answer unless it is too old; return whether it was applied."""
         if whole and answer.version < self.min_version:
             self.reject_old_copy(answer)
             return False
