--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -22,7 +22,7 @@
 import attrs
 import typer
 
-from gypsumshift.policy import VARIABLE, Policy
+from gypsumshift.policy import ENVIRONMENT_VARIABLE, Policy
 
 __all__ = ["Figures", "Gain", "Play", "figures_in", "gain", "main", "table"]
 
@@ -106,7 +106,10 @@
             shutil.copy(source, target)
     if without != WHOLE:
         deploy = place / "deploy" / "system.toml"
-        line = f'metrics = "9464/metrics"\nenv = {{ {VARIABLE} = "{without}" }}'
+        line = (
+            'metrics = "9464/metrics"\n'
+            f'env = {{ {ENVIRONMENT_VARIABLE} = "{without}" }}'
+        )
         deploy.write_text(deploy.read_text().replace('metrics = "9464/metrics"', line))
     return place
 
--- a/gypsumshift/accounting.py
+++ b/gypsumshift/accounting.py
@@ -7,17 +7,17 @@
 import attrs
 
 from gypsumshift.clock import Clock
-from gypsumshift.duties import DURATION, Duty
+from gypsumshift.duties import LEASE_DURATION_S, DutyRunner
 from gypsumshift.leases import Lease
 from gypsumshift.metrics import Metrics
 from gypsumshift.platforms import RowStore
-from gypsumshift.usage import UsageCounter, UsageLog
+from gypsumshift.usage import UsageCounter, UsageWriter
 from gypsumshift.usagereports import ReportReceiver, UsageReporter
 
 __all__ = ["Accounting", "new_accounting"]
 
 # Names the lease of whoever tells the usage.
-USAGE_DUTY = "usage"
+USAGE_LEASE_NAME = "usage"
 
 
 @attrs.frozen
@@ -33,26 +33,26 @@
     """
 
     counter: UsageCounter
-    log: UsageLog
-    duty: Duty
+    writer: UsageWriter
+    duty: DutyRunner
 
-    def work(self) -> list[Coroutine]:
+    def background_tasks(self) -> list[Coroutine]:
         """Return what is to run until it is cancelled."""
-        return [self.log.run(), self.duty.run()]
+        return [self.writer.run(), self.duty.run()]
 
-    async def leave(self) -> None:
+    async def stop_duty(self) -> None:
         """Have another process tell the usage.
 
         What is counted from now on is written until the process ends.
         """
-        await self.duty.leave()
+        await self.duty.stop()
 
 
 def new_accounting(
     store: RowStore,
     receiver: ReportReceiver,
     host: str,
-    width: datetime.timedelta,
+    window_width: datetime.timedelta,
     clock: Clock,
     chance: random.Random,
     metrics: Metrics,
@@ -71,11 +71,17 @@
     chance : random.Random
     metrics : Metrics
     """
-    counter = UsageCounter(clock, width)
-    usage_log = UsageLog(counter, store, clock, chance)
+    counter = UsageCounter(clock, window_width)
+    usage_log = UsageWriter(counter, store, clock, chance)
     reporter = UsageReporter(counter, store, receiver, metrics)
     owner = f"{host}/{usage_log.session}"
     lease = Lease(
-        store, USAGE_DUTY, owner, clock, DURATION, host=host, return_pause=DURATION
+        store,
+        USAGE_LEASE_NAME,
+        owner,
+        clock,
+        LEASE_DURATION_S,
+        host=host,
+        return_pause=LEASE_DURATION_S,
     )
-    return Accounting(counter, usage_log, Duty(lease, reporter, clock, chance))
+    return Accounting(counter, usage_log, DutyRunner(lease, reporter, clock, chance))
--- a/gypsumshift/agentnode.py
+++ b/gypsumshift/agentnode.py
@@ -9,7 +9,7 @@
 from gypsumshift.jobs.liveness import NO_PROBE, LivenessProbe
 from gypsumshift.jobs.localengine import AgentIdentity
 from gypsumshift.lifecycle import Node
-from gypsumshift.policy import DEFAULT, Policy
+from gypsumshift.policy import DEFAULT_POLICY, Policy
 from gypsumshift.serving.crashguard import CrashGuard
 from gypsumshift.serving.forwarder import Forwarder
 from gypsumshift.serving.loadbalancer import LoadBalancer
@@ -56,7 +56,7 @@
         fetcher,
         chance,
         metrics,
-        policy: Policy = DEFAULT,
+        policy: Policy = DEFAULT_POLICY,
         liveness: LivenessProbe = NO_PROBE,
         store_writes: float = STORE_WRITES,
     ):
@@ -85,7 +85,7 @@
             store_writes,
         )
 
-    def work(self):
+    def background_tasks(self):
         """Return what the agent does until it is cancelled."""
         return [self.agent.run(), self.guard.run()]
 
--- a/gypsumshift/bearer.py
+++ b/gypsumshift/bearer.py
@@ -3,19 +3,19 @@
 from gypsumshift.httpserver import Request, Response, problem_response
 from gypsumshift.workspaces import Workspaces, key_digest
 
-__all__ = ["bearer", "has_key", "unauthorized"]
+__all__ = ["bearer_token", "has_workspace_key", "unauthorized"]
 
 
-def bearer(request: Request) -> str:
+def bearer_token(request: Request) -> str:
     """Return the token of a request; empty for none."""
     return request.header("authorization").removeprefix("Bearer ").strip()
 
 
-def has_key(request: Request, workspace: str, keys: Workspaces) -> bool:
+def has_workspace_key(request: Request, workspace: str, keys: Workspaces) -> bool:
     """Tell whether a request bears a key, where its workspace wants one."""
     if workspace not in keys.by_name:
         return True
-    found = keys.find(key_digest(bearer(request)))
+    found = keys.find_by_digest(key_digest(bearer_token(request)))
     return found is not None and found.name == workspace
 
 
--- a/gypsumshift/callers.py
+++ b/gypsumshift/callers.py
@@ -99,7 +99,7 @@
         """Count one request by its outcome."""
         metrics = self.process.metrics
         metrics.count("requests", workspace=job.workspace, outcome=outcome)
-        metrics.time("request_duration", took, workspace=job.workspace)
+        metrics.record_duration("request_duration", took, workspace=job.workspace)
         if job.attempts > 1:
             metrics.count("retries", job.attempts - 1, workspace=job.workspace)
 
--- a/gypsumshift/cli.py
+++ b/gypsumshift/cli.py
@@ -336,7 +336,7 @@
     if not folder.is_dir():
         print(f"gypsumshift: there is no folder {str(folder)!r}", file=sys.stderr)
         raise typer.Exit(EXIT_INVALID)
-    lines = traces.find(folder, wanted)
+    lines = traces.find_lines(folder, wanted)
     if as_json:
         print_json(lines)
         return
--- a/gypsumshift/clock.py
+++ b/gypsumshift/clock.py
@@ -15,7 +15,7 @@
     def monotonic(self) -> float:
         """Return seconds from an arbitrary start; never goes back."""
 
-    def elapsed(self) -> float:
+    def monotonic_with_suspend(self) -> float:
         """Return seconds from an arbitrary start, those of a suspended host included.
 
         The monotonic clock may stand still meanwhile, so what others may have done in
@@ -39,7 +39,7 @@
         """Return seconds from an arbitrary start; never goes back."""
         return time.monotonic()
 
-    def elapsed(self) -> float:
+    def monotonic_with_suspend(self) -> float:
         """Return seconds, those in which the host was suspended included."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
--- a/gypsumshift/duties.py
+++ b/gypsumshift/duties.py
@@ -12,35 +12,35 @@
 from gypsumshift.clock import Clock
 from gypsumshift.leases import Lease
 
-__all__ = ["CALL_TIMEOUT", "Duty", "Work"]
+__all__ = ["CALL_TIMEOUT_S", "DutyRunner", "DutyTask"]
 
 # Seconds for which a lease is held behind its last renewal. A holder that was killed is
 # replaced after these and one period, well inside what most duties may be late.
-DURATION = 3.0
+LEASE_DURATION_S = 3.0
 # Seconds between two looks at the lease. A holder renews with two thirds of its time
 # left, so that one write whose answer is lost costs nothing.
-PERIOD = 1.0
+LEASE_CHECK_PERIOD_S = 1.0
 # Part of a period by which looks are drawn apart, so that challengers do not come
 # together.
-SPREAD = 0.2
+PERIOD_JITTER = 0.2
 # Seconds for a call of a duty. A holder makes one only while its lease lasts longer.
-CALL_TIMEOUT = 1.0
+CALL_TIMEOUT_S = 1.0
 # Seconds for which a process that stops waits for a call that is under way; without its
 # end the lease is not given up, but runs out.
-LEAVE_TIMEOUT = 3.0
+STOP_TIMEOUT_S = 3.0
 
 log = logs.logger("duties")
 
 
-class Work(abc.ABC):
+class DutyTask(abc.ABC):
     """What the holder of a duty does."""
 
     @abc.abstractmethod
-    async def take_over(self) -> bool:
+    async def load_state(self) -> bool:
         """Learn what was done before; return whether that succeeded."""
 
     @abc.abstractmethod
-    async def step(self, lease: Lease) -> None:
+    async def run_step(self, lease: Lease) -> None:
         """Do what is due, in one call at the most.
 
         The call is made only while the lease lasts for `CALL_TIMEOUT`, which ends it,
@@ -48,7 +48,7 @@
         """
 
 
-class Duty:
+class DutyRunner:
     """Does the work of a duty while this process holds its lease.
 
     Parameters
@@ -66,40 +66,45 @@
         Whether this process stops.
     """
 
-    def __init__(self, lease: Lease, work: Work, clock: Clock, chance: random.Random):
+    def __init__(
+        self, lease: Lease, task: DutyTask, clock: Clock, chance: random.Random
+    ):
         self.lease = lease
-        self.work = work
+        self.task = task
         self.clock = clock
         self.chance = chance
-        self.known = 0
-        self.leaving = False
-        self.acting = asyncio.Lock()
+        self.loaded_fence = 0
+        self.stopping = False
+        self.step_lock = asyncio.Lock()
 
     async def run(self) -> None:
         """Hold the lease where nobody else does, and do the work meanwhile."""
-        while not self.leaving:
-            async with self.acting:
-                await self.step()
-            await self.clock.sleep(PERIOD * self.chance.uniform(1 - SPREAD, 1 + SPREAD))
-
-    async def step(self) -> None:
+        while not self.stopping:
+            async with self.step_lock:
+                await self.run_once()
+            await self.clock.sleep(
+                LEASE_CHECK_PERIOD_S
+                * self.chance.uniform(1 - PERIOD_JITTER, 1 + PERIOD_JITTER)
+            )
+
+    async def run_once(self) -> None:
         """Look at the lease, and do what is due while it lasts."""
         before = self.lease.fence
-        held = await self.lease.step()
+        held = await self.lease.renew_or_acquire()
         if self.lease.fence != before:
-            self.log_change(before)
+            self.log_lease_change(before)
         if held:
-            await self.act()
+            await self.run_task()
 
-    async def act(self) -> None:
+    async def run_task(self) -> None:
         """Do what is due, once what was done before is known."""
-        if self.known != self.lease.fence:
-            if not await self.work.take_over():
+        if self.loaded_fence != self.lease.fence:
+            if not await self.task.load_state():
                 return
-            self.known = self.lease.fence
-        await self.work.step(self.lease)
+            self.loaded_fence = self.lease.fence
+        await self.task.run_step(self.lease)
 
-    def log_change(self, before: int) -> None:
+    def log_lease_change(self, before: int) -> None:
         """Log that the lease was taken or lost."""
         message = "Holds a duty." if self.lease.fence else "A duty is held no more."
         logs.event(
@@ -109,14 +114,14 @@
             fence=self.lease.fence or before,
         )
 
-    async def leave(self) -> None:
+    async def stop(self) -> None:
         """Give the duty up, so that another process takes it at once.
 
         Not while a call is under way: its successor's could come before it.
         """
-        self.leaving = True
+        self.stopping = True
         try:
-            async with asyncio.timeout(LEAVE_TIMEOUT), self.acting:
+            async with asyncio.timeout(STOP_TIMEOUT_S), self.step_lock:
                 await self.lease.release()
         except TimeoutError:
             log.warning("A duty is not given up: {}.", self.lease.name)
--- a/gypsumshift/entry.py
+++ b/gypsumshift/entry.py
@@ -1,7 +1,7 @@
 """Entry: the process on an entry host, for callers, trainers and operators."""
 
 from gypsumshift import logs
-from gypsumshift.bearer import has_key, unauthorized
+from gypsumshift.bearer import has_workspace_key, unauthorized
 from gypsumshift.callers import Callers
 from gypsumshift.dispatch import Dispatcher
 from gypsumshift.generated.messages import Role
@@ -116,7 +116,7 @@
             return problem_response(
                 404, "not run", f"there is no workspace {workspace!r}"
             )
-        if not has_key(request, workspace, self.in_force.catalog.keys):
+        if not has_workspace_key(request, workspace, self.in_force.catalog.keys):
             return unauthorized(f"{workspace} takes requests with one of its keys")
         if rest.startswith("trainers/"):
             rest = rest.removeprefix("trainers/")
--- a/gypsumshift/gateway.py
+++ b/gypsumshift/gateway.py
@@ -8,7 +8,7 @@
 from gypsumshift.jobs.jobmanager import JobManager
 from gypsumshift.lifecycle import Node
 from gypsumshift.platforms import RowStore
-from gypsumshift.policy import DEFAULT, Policy
+from gypsumshift.policy import DEFAULT_POLICY, Policy
 from gypsumshift.serving.authorization import Authorizer
 from gypsumshift.serving.crashguard import CrashGuard
 from gypsumshift.serving.forwarder import Forwarder
@@ -23,9 +23,9 @@
 # has some 200 kB.
 BODY_LIMIT = 64 * 1024 * 1024
 # Seconds at the very end for the last counts of usage: two answers of the store.
-LAST_COUNTS_TIMEOUT = 0.5
+FINAL_FLUSH_TIMEOUT_S = 0.5
 # Seconds without the store after which callers are better served elsewhere.
-STORE_SILENCE = 2.5
+STORE_STALE_AFTER_S = 2.5
 
 
 class Gateway(Node):
@@ -64,7 +64,7 @@
         fetcher,
         chance,
         metrics,
-        policy: Policy = DEFAULT,
+        policy: Policy = DEFAULT_POLICY,
     ):
         self.store: RowStore = store
         self.authorizer: Authorizer = authorizer
@@ -87,17 +87,17 @@
         sender = Sender(directory, self.balancer, fetcher, names, clock, metrics, usage)
         self.forwarder = Forwarder(sender, self.guard, policy)
         self.streams = StreamRelay(self.forwarder)
-        self.leaving = False
+        self.draining = False
 
     @property
     def ready(self) -> bool:
         """Whether new callers should come here."""
-        if self.leaving or not self.directory.routes.version:
+        if self.draining or not self.directory.routes.version:
             return False
         if not self.guard.loaded or not self.authorizer.ready:
             return False
         newest = max(watch.current_at for watch in self.directory_watches)
-        return self.clock.monotonic() - newest < STORE_SILENCE
+        return self.clock.monotonic() - newest < STORE_STALE_AFTER_S
 
     async def sweep(self) -> None:
         """Put the limit of the configuration in force, and forget what is gone."""
@@ -107,17 +107,17 @@
         self.guard.sweep()
         await self.job_manager.remove_expired_jobs(self.chance)
 
-    def work(self):
+    def background_tasks(self):
         """Return what else the gateway does until it is cancelled."""
-        accounting = self.accounting.work() if self.accounting else []
+        accounting = self.accounting.background_tasks() if self.accounting else []
         return [self.guard.run(), *accounting]
 
     async def drain(self, grace: float) -> None:
         """Send callers elsewhere, finish what runs, then close."""
-        self.leaving = True
+        self.draining = True
         # Beside the rest: the store may be slow, and callers need all of the time.
-        accounting = asyncio.create_task(self.leave_accounting())
-        leaving = [port.server for port in self.ports if not port.always]
+        accounting = asyncio.create_task(self.stop_usage_duty())
+        leaving = [port.server for port in self.ports if not port.open_while_draining]
         for server in leaving:
             server.draining = True
         # Idle connections end with their next answer; two questions of the
@@ -128,15 +128,15 @@
         accounting.cancel()
         await asyncio.wait({accounting})
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LAST_COUNTS_TIMEOUT):
-                await self.write_last_counts()
+            async with asyncio.timeout(FINAL_FLUSH_TIMEOUT_S):
+                await self.flush_usage()
 
-    async def leave_accounting(self) -> None:
+    async def stop_usage_duty(self) -> None:
         """Have another host tell the usage; this one goes on writing its counts."""
         if self.accounting:
-            await self.accounting.leave()
+            await self.accounting.stop_duty()
 
-    async def write_last_counts(self) -> None:
+    async def flush_usage(self) -> None:
         """Write the usage that was counted since the counts were written last."""
         if self.accounting:
-            await self.accounting.log.flush()
+            await self.accounting.writer.flush()
--- a/gypsumshift/generation.py
+++ b/gypsumshift/generation.py
@@ -109,7 +109,7 @@
         """Renew the lease, or wait for it."""
         while True:
             if not self.process.own.leaving:
-                await self.lease.step()
+                await self.lease.renew_or_acquire()
             await self.clock.sleep(LEASE_PERIOD)
 
     def stop_groups(self) -> None:
--- a/gypsumshift/hedging.py
+++ b/gypsumshift/hedging.py
@@ -14,7 +14,7 @@
 from gypsumshift.neighbours import StorePath
 from gypsumshift.outcomes import Committed, Conflict, Unavailable, Unknown, Written
 from gypsumshift.platforms import RowStore, WrappedStore, Write
-from gypsumshift.policy import DEFAULT, Policy
+from gypsumshift.policy import DEFAULT_POLICY, Policy
 
 __all__ = ["AverageAnswerTime", "HedgedStore"]
 
@@ -70,7 +70,7 @@
         inner: RowStore,
         path: StorePath,
         clock: Clock,
-        policy: Policy = DEFAULT,
+        policy: Policy = DEFAULT_POLICY,
     ):
         self.max_copies = MAX_COPIES if policy.hedged_writes else 1
         super().__init__(inner)
--- a/gypsumshift/jobs/agent.py
+++ b/gypsumshift/jobs/agent.py
@@ -31,7 +31,7 @@
 from gypsumshift.jobs.weights import WeightManager
 from gypsumshift.metrics import Metrics
 from gypsumshift.platforms import Row, RowStore
-from gypsumshift.policy import DEFAULT, Policy
+from gypsumshift.policy import DEFAULT_POLICY, Policy
 from gypsumshift.serving.directory import BackendServer, Directory
 from gypsumshift.serving.forwarder import Forwarder
 from gypsumshift.serving.headers import HeaderNames
@@ -112,7 +112,7 @@
         clock: Clock,
         chance: random.Random,
         metrics: Metrics,
-        policy: Policy = DEFAULT,
+        policy: Policy = DEFAULT_POLICY,
         liveness: LivenessProbe = NO_PROBE,
         store_writes: float = STORE_WRITES,
     ):
--- a/gypsumshift/jobs/weights.py
+++ b/gypsumshift/jobs/weights.py
@@ -11,7 +11,7 @@
 from gypsumshift.jobs.records import Job
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import Answered
-from gypsumshift.policy import DEFAULT, Policy
+from gypsumshift.policy import DEFAULT_POLICY, Policy
 
 __all__ = ["WeightManager"]
 
@@ -65,7 +65,7 @@
         tracker: ClaimTracker,
         clock: Clock,
         metrics: Metrics,
-        policy: Policy = DEFAULT,
+        policy: Policy = DEFAULT_POLICY,
     ):
         self.policy = policy
         self.local_engine = local_engine
--- a/gypsumshift/leases.py
+++ b/gypsumshift/leases.py
@@ -18,13 +18,13 @@
 LEASES_TABLE = "leases"
 # Hosts that held a lease before its holder and are remembered: of A, B, C, one that
 # comes back behind C is told from one that never held it.
-FORMER_KEPT = 2
+MAX_FORMER_HOSTS = 2
 
 log = logs.logger("leases")
 
 
 @attrs.frozen
-class Holding:
+class LeaseRecord:
     """What the row of a lease says.
 
     Attributes
@@ -44,7 +44,7 @@
     former: tuple[str, ...] = ()
 
 
-def parse_holding(row: Row) -> Holding | None:
+def parse_lease_record(row: Row) -> LeaseRecord | None:
     """Return what a row says; None where another writer put something else."""
     value = row.value
     owner, fence = value.get("owner"), value.get("fence")
@@ -53,7 +53,7 @@
         isinstance(text, str) for text in (owner, host, *former)
     )
     if texts and type(fence) is int:
-        return Holding(owner, fence, host, tuple(former))
+        return LeaseRecord(owner, fence, host, tuple(former))
     log.error("A row is no lease: {}/{}", row.table, row.key)
     return None
 
@@ -100,37 +100,42 @@
     @property
     def held(self) -> bool:
         """Whether this process may believe that it holds the lease."""
-        return self.held_for(0.0)
+        return self.is_held_for(0.0)
 
-    def held_for(self, seconds: float) -> bool:
+    def is_held_for(self, seconds: float) -> bool:
         """Tell whether the lease lasts for longer than so many seconds."""
-        return self.fence > 0 and self.clock.elapsed() + seconds < self.held_until
+        return (
+            self.fence > 0
+            and self.clock.monotonic_with_suspend() + seconds < self.held_until
+        )
 
-    async def step(self) -> bool:
+    async def renew_or_acquire(self) -> bool:
         """Renew, or take over where that is due; return whether it is held."""
-        began = self.clock.elapsed()
+        began = self.clock.monotonic_with_suspend()
         row = await self.tables.read(LEASES_TABLE, self.name)
         if isinstance(row, Unavailable):
             return self.held
         if isinstance(row, Missing):
-            await self.write(ABSENT, Holding(self.owner, 1, self.host), began)
+            await self.write_record(
+                ABSENT, LeaseRecord(self.owner, 1, self.host), began
+            )
             return self.held
-        known = parse_holding(row)
+        known = parse_lease_record(row)
         if known is None:
             return self.held
         if known.owner == self.owner:
-            await self.write(row.version, known, began)
+            await self.write_record(row.version, known, began)
             return self.held
         self.fence = 0
-        if self.due(row, known):
-            former = (known.host, *known.former)[:FORMER_KEPT]
-            taken = Holding(self.owner, known.fence + 1, self.host, former)
-            await self.write(row.version, taken, began)
+        if self.may_take_over(row, known):
+            former = (known.host, *known.former)[:MAX_FORMER_HOSTS]
+            taken = LeaseRecord(self.owner, known.fence + 1, self.host, former)
+            await self.write_record(row.version, taken, began)
         return self.held
 
-    def due(self, row: Row, known: Holding) -> bool:
+    def may_take_over(self, row: Row, known: LeaseRecord) -> bool:
         """Tell whether this process may take the lease over from its holder."""
-        now = self.clock.elapsed()
+        now = self.clock.monotonic_with_suspend()
         if row.version != self.seen_version:
             self.seen_version, self.seen_at = row.version, now
         wait = self.duration if known.owner else 0.0
@@ -138,7 +143,9 @@
             wait += self.return_pause
         return now - self.seen_at >= wait
 
-    async def write(self, version: int, holding: Holding, began: float) -> None:
+    async def write_record(
+        self, version: int, holding: LeaseRecord, began: float
+    ) -> None:
         """Write the row as its holder; a lost answer is settled by the next step."""
         value = attrs.asdict(holding)
         outcome = await self.tables.commit(
@@ -156,7 +163,7 @@
         row = await self.tables.read(LEASES_TABLE, self.name)
         if not isinstance(row, Row):
             return
-        known = parse_holding(row)
+        known = parse_lease_record(row)
         if known is None or known.owner != self.owner:
             return
         value = attrs.asdict(attrs.evolve(known, owner=""))
--- a/gypsumshift/lifecycle.py
+++ b/gypsumshift/lifecycle.py
@@ -24,7 +24,7 @@
 # left for a slow host.
 GRACE_SHARE = 0.8
 # Seconds between two sweeps of what is remembered of backend servers.
-SWEEP_PERIOD = 1.0
+SWEEP_PERIOD_S = 1.0
 
 log = logs.logger("process")
 
@@ -43,7 +43,7 @@
 
     address: tuple[str, int]
     server: HttpServer
-    always: bool
+    open_while_draining: bool
 
 
 class Node(abc.ABC):
@@ -77,19 +77,24 @@
         self.balancer = balancer
         self.clock = clock
         self.ports: list[Port] = []
-        self.joining: list[Callable[[], Coroutine]] = []
+        self.peer_tasks: list[Callable[[], Coroutine]] = []
 
-    def join(self, neighbourhood: NeighbourRegistry, bootstrap: Bootstrap) -> None:
+    def join_peers(
+        self, neighbourhood: NeighbourRegistry, bootstrap: Bootstrap
+    ) -> None:
         """Learn of the other processes and from them, and tell them of this one."""
         self.watches.append(neighbourhood.watch)
-        self.joining += [neighbourhood.run, bootstrap.run]
+        self.peer_tasks += [neighbourhood.run, bootstrap.run]
 
     def listen_at(
-        self, address: tuple[str, int], handler: Handler, always: bool = False
+        self,
+        address: tuple[str, int],
+        handler: Handler,
+        open_while_draining: bool = False,
     ) -> None:
         """Have a handler answer at an address; see `Port`."""
         server = HttpServer(handler, self.body_limit)
-        self.ports.append(Port(address, server, always))
+        self.ports.append(Port(address, server, open_while_draining))
 
     async def run(self) -> None:
         """Work until cancelled."""
@@ -97,16 +102,16 @@
             await port.server.listen(*port.address)
         async with asyncio.TaskGroup() as group:
             group.create_task(run_watches(self.watches))
-            group.create_task(self.sweep_on())
-            for task in self.joining:
+            group.create_task(self.run_sweep_loop())
+            for task in self.peer_tasks:
                 group.create_task(task())
-            for work in self.work():
+            for work in self.background_tasks():
                 group.create_task(work)
 
-    async def sweep_on(self) -> None:
+    async def run_sweep_loop(self) -> None:
         """Forget what is gone, now and then."""
         while True:
-            await self.clock.sleep(SWEEP_PERIOD)
+            await self.clock.sleep(SWEEP_PERIOD_S)
             await self.sweep()
 
     async def sweep(self) -> None:
@@ -116,7 +121,7 @@
             {server.start for server in self.directory.servers.values()}
         )
 
-    def work(self) -> list[Coroutine]:
+    def background_tasks(self) -> list[Coroutine]:
         """Return what else this process does until it is cancelled."""
         return []
 
--- a/gypsumshift/logs.py
+++ b/gypsumshift/logs.py
@@ -8,12 +8,12 @@
 
 import logbook
 
-__all__ = ["BoundedStream", "configure", "event", "logger"]
+__all__ = ["RateLimitedStream", "configure", "event", "logger"]
 
 # Lines a second that one process writes at the most, and after a quiet time at
 # once. At 300 bytes a line that is 60 kB/s, which a 30 Mbit/s host can spare.
 LINES_PER_SECOND = 200.0
-LINES_AT_ONCE = 600.0
+BURST_LINES = 600.0
 
 TEXT_FORMAT = (
     "{record.time:%Y-%m-%dT%H:%M:%S.%fZ} {record.level_name} "
@@ -31,7 +31,7 @@
     log.info("{}", message, extra=fields)
 
 
-class BoundedStream:
+class RateLimitedStream:
     """Stream that drops lines rather than block or flood its reader.
 
     Parameters
@@ -45,37 +45,37 @@
     def __init__(self, descriptor: int, monotonic: Callable[[], float]):
         self.descriptor = descriptor
         self.monotonic = monotonic
-        self.allowance = LINES_AT_ONCE
+        self.tokens = BURST_LINES
         self.filled_at = monotonic()
         self.dropped = 0
-        self.rest = b""
+        self.unwritten = b""
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
         """Write a line, or count it as dropped."""
         now = self.monotonic()
         earned = (now - self.filled_at) * LINES_PER_SECOND
-        self.allowance = min(LINES_AT_ONCE, self.allowance + earned)
+        self.tokens = min(BURST_LINES, self.tokens + earned)
         self.filled_at = now
-        if self.allowance < 1:
+        if self.tokens < 1:
             self.dropped += 1
             return
-        self.allowance -= 1
+        self.tokens -= 1
         if self.dropped:
             text = f"{self.dropped} lines dropped\n{text}"
-        self.push(text.encode())
+        self.write_bytes(text.encode())
 
-    def push(self, data: bytes) -> None:
+    def write_bytes(self, data: bytes) -> None:
         """Write what fits; a line begun is finished before the next."""
         try:
-            if self.rest:
-                written = os.write(self.descriptor, self.rest)
-                self.rest = self.rest[written:]
-            if self.rest:
+            if self.unwritten:
+                written = os.write(self.descriptor, self.unwritten)
+                self.unwritten = self.unwritten[written:]
+            if self.unwritten:
                 self.dropped += 1
                 return
             written = os.write(self.descriptor, data)
-            self.rest = data[written:]
+            self.unwritten = data[written:]
             self.dropped = 0
         except OSError:
             # Nobody reads: nothing can be told, so the line is counted instead.
@@ -113,7 +113,7 @@
         Least severe level that is logged.
     """
     sys.stdout.flush()
-    stream = BoundedStream(sys.stdout.fileno(), time.monotonic)
+    stream = RateLimitedStream(sys.stdout.fileno(), time.monotonic)
     handler = logbook.StreamHandler(stream, level=level.upper())
     handler.format_string = TEXT_FORMAT
     if log_format == "json":
--- a/gypsumshift/memory.py
+++ b/gypsumshift/memory.py
@@ -12,7 +12,7 @@
 
 __all__ = ["MemoryHosts", "MemoryObjects", "MemoryTables", "MemoryWeights", "connect"]
 
-SHARED: dict[str, platforms.Platform] = {}
+PLATFORMS_BY_URL: dict[str, platforms.Platform] = {}
 
 
 class MemoryTables(platforms.RowStore):
@@ -33,7 +33,7 @@
         self.index: list[tuple[str, str, str]] = []
         self.version = 0
         self.history: list[Row] = []
-        self.forgotten = 0
+        self.dropped_through = 0
         self.changed = asyncio.Event()
 
     async def read(self, table, key, part=""):
@@ -54,24 +54,24 @@
         """Apply all writes, or none where a condition does not hold."""
         platforms.check_distinct(writes)
         for write in writes:
-            if not self.holds(write):
+            if not self.condition_holds(write):
                 return Conflict(f"{write.table}/{write.key}")
         self.version += 1
         for write in writes:
             if not write.check:
-                self.apply(write)
+                self.apply_write(write)
         self.changed.set()
         self.changed = asyncio.Event()
         return Committed(self.version)
 
-    def holds(self, write: Write) -> bool:
+    def condition_holds(self, write: Write) -> bool:
         """Tell whether the condition of a write holds."""
         if write.expected is None:
             return True
         row = self.rows.get((write.table, write.part, write.key))
         return write.expected == (row.version if row else platforms.ABSENT)
 
-    def apply(self, write: Write) -> None:
+    def apply_write(self, write: Write) -> None:
         """Apply one write."""
         place = (write.table, write.part, write.key)
         row = Row(write.table, write.key, self.version, write.value, write.part)
@@ -86,20 +86,20 @@
             bisect.insort(self.index, place)
         self.rows[place] = row
 
-    def forget(self) -> None:
+    def drop_history(self) -> None:
         """Drop the history, as a store does that keeps it for a while only."""
-        self.forgotten = self.version
+        self.dropped_through = self.version
         self.history.clear()
 
     async def changes(self, table, after, wait):
         """Return what changed after a version; waits for the first change."""
         rows = self.changed_rows(table, after)
-        if not rows and after >= self.forgotten:
+        if not rows and after >= self.dropped_through:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait.total_seconds()):
                     await self.changed.wait()
             rows = self.changed_rows(table, after)
-        if after < self.forgotten:
+        if after < self.dropped_through:
             return HistoryLost()
         return Changes(rows, self.version)
 
@@ -172,11 +172,11 @@
 
 def connect(url: str) -> platforms.Platform:
     """Return the platform of that ``memory:`` URL, one per URL and process."""
-    if url not in SHARED:
-        SHARED[url] = platforms.Platform(
+    if url not in PLATFORMS_BY_URL:
+        PLATFORMS_BY_URL[url] = platforms.Platform(
             MemoryTables(), MemoryObjects(), MemoryWeights(), MemoryHosts()
         )
-    return SHARED[url]
+    return PLATFORMS_BY_URL[url]
 
 
 platforms.register("memory", connect)
--- a/gypsumshift/metrics.py
+++ b/gypsumshift/metrics.py
@@ -25,19 +25,19 @@
         Returns the process's current figures by name.
     """
 
-    def __init__(self, process: str, figures: Callable[[], dict[str, float]]):
+    def __init__(self, process: str, read_gauges: Callable[[], dict[str, float]]):
         self.reader = PrometheusMetricReader()
         resource = Resource({"service.name": PREFIX, "service.instance.id": process})
         self.provider = MeterProvider([self.reader], resource, shutdown_on_exit=False)
         self.meter = self.provider.get_meter(PREFIX)
         self.counters: dict[str, dict[tuple, float]] = {}
         self.histograms = {}
-        self.figures = figures
-        self.meter.create_observable_gauge(f"{PREFIX}.figure", [self.observe])
+        self.read_gauges = read_gauges
+        self.meter.create_observable_gauge(f"{PREFIX}.figure", [self.observe_gauges])
 
-    def observe(self, options: CallbackOptions):
+    def observe_gauges(self, options: CallbackOptions):
         """Yield the figures for the scrape page."""
-        for name, value in self.figures().items():
+        for name, value in self.read_gauges().items():
             yield Observation(value, {"figure": name})
 
     def count(self, name: str, amount: float = 1, **labels: str) -> None:
@@ -64,7 +64,7 @@
             for labels, value in counts.items()
         }
 
-    def time(self, name: str, seconds: float, **labels: str) -> None:
+    def record_duration(self, name: str, seconds: float, **labels: str) -> None:
         """Record a duration."""
         if name not in self.histograms:
             instrument = self.meter.create_histogram(f"{PREFIX}.{name}", unit="s")
--- a/gypsumshift/neighbours.py
+++ b/gypsumshift/neighbours.py
@@ -19,7 +19,7 @@
 from gypsumshift.httpserver import Handler, Request, Response
 from gypsumshift.outcomes import Committed
 from gypsumshift.platforms import Row, RowStore, Write
-from gypsumshift.policy import DEFAULT, Policy
+from gypsumshift.policy import DEFAULT_POLICY, Policy
 from gypsumshift.watch import StaleRowDetector, Watch
 
 __all__ = ["Neighbour", "NeighbourRegistry", "Relay", "StorePath"]
@@ -121,7 +121,7 @@
         chance: random.Random,
         zone: str,
         seeds: list[Neighbour],
-        policy: Policy = DEFAULT,
+        policy: Policy = DEFAULT_POLICY,
     ):
         self.policy = policy
         self.store = store
--- a/gypsumshift/operators.py
+++ b/gypsumshift/operators.py
@@ -8,7 +8,7 @@
 import attrs
 
 from gypsumshift import declarations
-from gypsumshift.bearer import bearer, unauthorized
+from gypsumshift.bearer import bearer_token, unauthorized
 from gypsumshift.events import merged
 from gypsumshift.generated import messages
 from gypsumshift.generated.messages import Body, Role
@@ -120,7 +120,7 @@
         """Tell whether a request carries the token that the settings ask for."""
         if not self.token:
             return True
-        return hmac.compare_digest(bearer(request).encode(), self.token.encode())
+        return hmac.compare_digest(bearer_token(request).encode(), self.token.encode())
 
     # Declarations
 
--- a/gypsumshift/outcomes.py
+++ b/gypsumshift/outcomes.py
@@ -142,10 +142,10 @@
 
     where: str
     what: str
-    mend: str
+    fix: str
 
     def __str__(self) -> str:
-        return f"{self.where}: {self.what}; {self.mend}"
+        return f"{self.where}: {self.what}; {self.fix}"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/gypsumshift/platforms.py
+++ b/gypsumshift/platforms.py
@@ -297,7 +297,7 @@
 
 
 ADAPTERS: dict[str, Callable[[str], Platform]] = {}
-BUILT_IN = {"memory": "gypsumshift.memory", "http": "gypsumshift.remote"}
+BUILT_IN_ADAPTERS = {"memory": "gypsumshift.memory", "http": "gypsumshift.remote"}
 
 
 def register(scheme: str, connector: Callable[[str], Platform]) -> None:
@@ -308,6 +308,6 @@
 def connect(url: str) -> Platform:
     """Return the platform behind a URL; a scheme nobody registered is a KeyError."""
     scheme = url.partition(":")[0]
-    if scheme not in ADAPTERS and scheme in BUILT_IN:
-        importlib.import_module(BUILT_IN[scheme])
+    if scheme not in ADAPTERS and scheme in BUILT_IN_ADAPTERS:
+        importlib.import_module(BUILT_IN_ADAPTERS[scheme])
     return ADAPTERS[scheme](url)
--- a/gypsumshift/policy.py
+++ b/gypsumshift/policy.py
@@ -6,10 +6,16 @@
 
 import attrs
 
-__all__ = ["DEFAULT", "VARIABLE", "Policy", "PolicyError", "parse_without"]
+__all__ = [
+    "DEFAULT_POLICY",
+    "ENVIRONMENT_VARIABLE",
+    "Policy",
+    "PolicyError",
+    "parse_disabled",
+]
 
 # Environment variable that names the mechanisms to switch off, separated by commas.
-VARIABLE = "GYPSUMSHIFT_WITHOUT"
+ENVIRONMENT_VARIABLE = "GYPSUMSHIFT_WITHOUT"
 
 
 class PolicyError(ValueError):
@@ -68,10 +74,10 @@
     shared_rereads: bool = True
 
 
-DEFAULT = Policy()
+DEFAULT_POLICY = Policy()
 
 
-def parse_without(text: str) -> Policy:
+def parse_disabled(text: str) -> Policy:
     """Return the policy without the mechanisms that a text names.
 
     Raises
@@ -84,5 +90,7 @@
     unknown = sorted(named - known)
     if unknown:
         there_are = ", ".join(sorted(known))
-        raise PolicyError(f"{VARIABLE} names {unknown[0]}; there are {there_are}")
+        raise PolicyError(
+            f"{ENVIRONMENT_VARIABLE} names {unknown[0]}; there are {there_are}"
+        )
     return Policy(**dict.fromkeys(named, False))
--- a/gypsumshift/serving/authorization.py
+++ b/gypsumshift/serving/authorization.py
@@ -162,7 +162,7 @@
 
     def decide(self, digest: str, lasting: bool) -> Verdict:
         """Return what is known of a key here and now."""
-        workspace = self.directory.routes.workspaces.find(digest)
+        workspace = self.directory.routes.workspaces.find_by_digest(digest)
         if workspace is None:
             if self.freshness.age <= UNKNOWN_AGE:
                 return UnknownKey()
@@ -173,7 +173,7 @@
 
     def is_grant_valid(self, grant: Grant) -> bool:
         """Tell whether a key is still the same workspace's, as far as can be known."""
-        workspace = self.directory.routes.workspaces.find(grant.digest)
+        workspace = self.directory.routes.workspaces.find_by_digest(grant.digest)
         known = workspace is not None and workspace.name == grant.workspace
         return known and self.freshness.keys_accepted
 
--- a/gypsumshift/serving/forwarder.py
+++ b/gypsumshift/serving/forwarder.py
@@ -14,7 +14,7 @@
 
 from gypsumshift import logs
 from gypsumshift.outcomes import Answered, HeldBack, NotRun, Unknown
-from gypsumshift.policy import DEFAULT, Policy
+from gypsumshift.policy import DEFAULT_POLICY, Policy
 from gypsumshift.serving.authorization import KEY_NOT_CONFIRMED
 from gypsumshift.serving.calls import AttemptOutcome, Call, Failed, Refused
 from gypsumshift.serving.crashguard import HELD_BACK_REASON, CrashGuard, Permit
@@ -96,7 +96,9 @@
     policy : Policy
     """
 
-    def __init__(self, sender: Sender, guard: CrashGuard, policy: Policy = DEFAULT):
+    def __init__(
+        self, sender: Sender, guard: CrashGuard, policy: Policy = DEFAULT_POLICY
+    ):
         self.policy = policy
         self.sender = sender
         self.guard = guard
@@ -141,7 +143,9 @@
                 self.late_crashes.check_servers(permit, cut)
         took = self.clock.monotonic() - started
         ending = type(outcome).__name__
-        self.metrics.time("request_seconds", took, service=service, outcome=ending)
+        self.metrics.record_duration(
+            "request_seconds", took, service=service, outcome=ending
+        )
         if not isinstance(outcome, Answered):
             logs.event(
                 log,
--- a/gypsumshift/serving/freshness.py
+++ b/gypsumshift/serving/freshness.py
@@ -61,7 +61,7 @@
         """Seconds since the begin of the exchange that confirmed the configuration."""
         if self.directory.config_unreadable:
             return math.inf
-        return self.clock.elapsed() - self.watch.confirmed_at
+        return self.clock.monotonic_with_suspend() - self.watch.confirmed_at
 
     @property
     def keys_accepted(self) -> bool:
--- a/gypsumshift/serving/loadbalancer.py
+++ b/gypsumshift/serving/loadbalancer.py
@@ -14,7 +14,7 @@
 
 from gypsumshift.clock import Clock
 from gypsumshift.ejection import Ejection
-from gypsumshift.policy import DEFAULT, Policy
+from gypsumshift.policy import DEFAULT_POLICY, Policy
 from gypsumshift.serving.directory import BackendServer, ServerStart
 from gypsumshift.serving.observations import Observation, Observations
 
@@ -118,7 +118,7 @@
         zone: str,
         clock: Clock,
         chance: random.Random,
-        policy: Policy = DEFAULT,
+        policy: Policy = DEFAULT_POLICY,
     ):
         self.policy = policy
         self.zone = zone
--- a/gypsumshift/settings.py
+++ b/gypsumshift/settings.py
@@ -36,7 +36,7 @@
                 what = "a sidecar needs it"
                 problems.append(Problem(f"{name}: {field}", what, f"set {field}"))
     scheme = settings.platform.partition(":")[0]
-    known = set(platforms.BUILT_IN) | set(platforms.ADAPTERS)
+    known = set(platforms.BUILT_IN_ADAPTERS) | set(platforms.ADAPTERS)
     if scheme not in known:
         what = f"no adapter for the scheme {scheme!r}"
         mend = f"use one of: {', '.join(sorted(known))}"
--- a/gypsumshift/sharedreads.py
+++ b/gypsumshift/sharedreads.py
@@ -24,7 +24,7 @@
 from gypsumshift.neighbours import Neighbour, StorePath
 from gypsumshift.outcomes import Unavailable
 from gypsumshift.platforms import Changes, Row, RowStore, WrappedStore
-from gypsumshift.policy import DEFAULT, Policy
+from gypsumshift.policy import DEFAULT_POLICY, Policy
 
 __all__ = [
     "TABLE_PATH",
@@ -96,7 +96,7 @@
         path: StorePath,
         own: Neighbour,
         clock: Clock,
-        policy: Policy = DEFAULT,
+        policy: Policy = DEFAULT_POLICY,
     ):
         super().__init__(inner)
         self.path = path
--- a/gypsumshift/traces.py
+++ b/gypsumshift/traces.py
@@ -4,16 +4,16 @@
 import pathlib
 from collections.abc import Callable, Iterator
 
-__all__ = ["find"]
+__all__ = ["find_lines"]
 
 # Field that is the same in the lines of a request under all of its ids.
 FINGERPRINT = "fingerprint"
 # Fields of the lines that tell what servers did under a request: that one ended, that
 # it was tried again, and that one answered it.
-TELLING = ("ended", "trial", "cleared")
+SERVER_EVENT_FIELDS = ("ended", "trial", "cleared")
 
 
-def find(folder: pathlib.Path, wanted: str) -> list[dict]:
+def find_lines(folder: pathlib.Path, wanted: str) -> list[dict]:
     """Return the log lines that name an id, in order of time.
 
     A request that is held back for what it did to servers under other ids has those
@@ -31,15 +31,23 @@
     list of dict
         With ``file`` added, the name of the file that a line stood in.
     """
-    found = list(lines_with(folder, lambda line: wanted in line))
+    found = list(matching_lines(folder, lambda line: wanted in line))
     known = {value[FINGERPRINT] for value in found if FINGERPRINT in value}
     if known:
-        others = lines_with(folder, lambda line: any(name in line for name in known))
-        found += [value for value in others if tells(value) and value not in found]
+        others = matching_lines(
+            folder, lambda line: any(name in line for name in known)
+        )
+        found += [
+            value
+            for value in others
+            if reports_server_event(value) and value not in found
+        ]
     return sorted(found, key=lambda value: str(value.get("time", "")))
 
 
-def lines_with(folder: pathlib.Path, names: Callable[[str], bool]) -> Iterator[dict]:
+def matching_lines(
+    folder: pathlib.Path, matches: Callable[[str], bool]
+) -> Iterator[dict]:
     """Yield the objects in the lines that ``names`` picks, with their files.
 
     Few lines are picked: only these are worth parsing.
@@ -47,17 +55,17 @@
     for file in sorted(path for path in folder.rglob("*") if path.is_file()):
         with file.open(errors="replace") as lines:
             for line in lines:
-                value = parse(line) if names(line) else None
+                value = parse_line(line) if matches(line) else None
                 if value is not None:
                     yield value | {"file": file.name}
 
 
-def tells(value: dict) -> bool:
+def reports_server_event(value: dict) -> bool:
     """Tell whether a line says what servers did under a request."""
-    return any(value.get(name) for name in TELLING)
+    return any(value.get(name) for name in SERVER_EVENT_FIELDS)
 
 
-def parse(line: str) -> dict | None:
+def parse_line(line: str) -> dict | None:
     """Return the object in a line, which may have text before it; None for none."""
     start = line.find("{")
     if start < 0:
--- a/gypsumshift/trainers.py
+++ b/gypsumshift/trainers.py
@@ -191,7 +191,7 @@
         lag = [step.version - sample.oldest for sample in samples]
         self.idle[trainer.name] = idle
         self.staleness[trainer.name] = sum(lag) / len(lag)
-        self.process.metrics.time("trainer_idle", idle, trainer=trainer.name)
+        self.process.metrics.record_duration("trainer_idle", idle, trainer=trainer.name)
         self.process.recorder.note("delivered", f"{trainer.name}/{step.number}")
         self.process.spawn(ledger.sweep(step.number - 1))
         return json_response(
--- a/gypsumshift/usagereports.py
+++ b/gypsumshift/usagereports.py
@@ -11,30 +11,30 @@
 import attrs
 
 from gypsumshift import logs
-from gypsumshift.duties import CALL_TIMEOUT, Work
+from gypsumshift.duties import CALL_TIMEOUT_S, DutyTask
 from gypsumshift.leases import Lease
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import Committed, Conflict, Missing, Unavailable, Unknown
 from gypsumshift.platforms import ABSENT, Row, RowStore, Write
-from gypsumshift.usage import SHARDS, USAGE, UsageCounter, part_of
+from gypsumshift.usage import SHARD_COUNT, USAGE_TABLE, UsageCounter, part_name
 
-__all__ = ["REPORTS", "Report", "ReportReceiver", "UsageReporter"]
+__all__ = ["REPORTS_TABLE", "Report", "ReportReceiver", "UsageReporter"]
 
 # Table of what was decided to be told, a row a window.
-REPORTS = "usage-reports"
+REPORTS_TABLE = "usage-reports"
 # Row that names the oldest window of which there may be rows.
-FIRST = "first"
+OLDEST_WINDOW_KEY = "first"
 # Seconds behind the end of a window at which it is told: requests that began in it have
 # ended, and their counts are written.
-SETTLE = 3.5
+REPORT_DELAY_S = 3.5
 # Seconds behind its end after which a window is given up: it is of no use any more.
-GIVEN_UP = 40.0
+REPORT_DEADLINE_S = 40.0
 # Seconds behind its end after which the rows of a window are removed.
-KEPT = 60.0
+RETENTION_S = 60.0
 # Windows removed in one step: more than begin, also behind a long pause.
-WINDOWS_AT_ONCE = 3
+MAX_WINDOWS_PER_STEP = 3
 # Rows removed in one transaction.
-REMOVED_AT_ONCE = 90
+MAX_ROWS_PER_COMMIT = 90
 
 log = logs.logger("usage")
 
@@ -63,7 +63,7 @@
     return None
 
 
-def parse_first(row: Row) -> int:
+def parse_oldest_window(row: Row) -> int:
     """Return the window that a row names; 0 where it names none."""
     window = row.value.get("window")
     if type(window) is int:
@@ -76,7 +76,7 @@
     """Outside system that takes reports."""
 
     @abc.abstractmethod
-    async def tell(
+    async def send_report(
         self, report: Report, lease: Lease
     ) -> Committed | Unavailable | Unknown:
         """Tell a report, under the fence of a lease, unless the lease has ended.
@@ -85,7 +85,7 @@
         """
 
 
-class UsageReporter(Work):
+class UsageReporter(DutyTask):
     """Decides and tells the report of each window.
 
     Parameters
@@ -116,77 +116,77 @@
         self.store = store
         self.receiver = receiver
         self.metrics = metrics
-        self.told: dict[int, bool] = {}
-        self.first = 0
+        self.reported: dict[int, bool] = {}
+        self.oldest_window = 0
 
-    async def take_over(self) -> bool:
+    async def load_state(self) -> bool:
         """Learn which windows were told before."""
         current = self.counter.window_at(self.counter.now())
-        first = Write(REPORTS, FIRST, {"window": current}, ABSENT)
+        first = Write(REPORTS_TABLE, OLDEST_WINDOW_KEY, {"window": current}, ABSENT)
         outcome = await self.store.commit([first])
         if not isinstance(outcome, (Committed, Conflict)):
             return False
-        rows = await self.store.scan(REPORTS, "")
+        rows = await self.store.scan(REPORTS_TABLE, "")
         if isinstance(rows, Unavailable):
             return False
-        self.told = {}
+        self.reported = {}
         for row in rows:
-            if row.key == FIRST:
-                self.first = parse_first(row)
+            if row.key == OLDEST_WINDOW_KEY:
+                self.oldest_window = parse_oldest_window(row)
             elif row.key.isdigit():
-                self.told[int(row.key)] = row.value.get("told", False)
+                self.reported[int(row.key)] = row.value.get("told", False)
         return True
 
-    def due(self) -> list[int]:
+    def due_windows(self) -> list[int]:
         """Return the windows to be told now, the oldest first."""
         now = self.counter.now()
-        newest = self.counter.window_at(now - SETTLE) - 1
-        oldest = self.counter.window_at(now - GIVEN_UP)
-        windows = range(max(oldest, self.first), newest + 1)
-        return [window for window in windows if not self.told.get(window)]
+        newest = self.counter.window_at(now - REPORT_DELAY_S) - 1
+        oldest = self.counter.window_at(now - REPORT_DEADLINE_S)
+        windows = range(max(oldest, self.oldest_window), newest + 1)
+        return [window for window in windows if not self.reported.get(window)]
 
-    async def step(self, lease):
+    async def run_step(self, lease):
         """Tell the oldest window that is due."""
-        for window in self.due()[:1]:
-            report = await self.decide(window)
+        for window in self.due_windows()[:1]:
+            report = await self.decide_report(window)
             # Asked behind everything that may have taken time.
-            if report is not None and lease.held_for(CALL_TIMEOUT):
-                await self.tell(report, lease)
-        await self.remove_old()
+            if report is not None and lease.is_held_for(CALL_TIMEOUT_S):
+                await self.send_report(report, lease)
+        await self.remove_old_windows()
 
-    async def decide(self, window: int) -> Report | None:
+    async def decide_report(self, window: int) -> Report | None:
         """Return what is told of a window, by whoever decided it first."""
-        row = await self.store.read(REPORTS, str(window))
+        row = await self.store.read(REPORTS_TABLE, str(window))
         if isinstance(row, Missing):
-            counts = await self.add_up(window)
+            counts = await self.sum_counts(window)
             if counts is None:
                 return None
-            write = Write(REPORTS, str(window), {"counts": counts}, ABSENT)
+            write = Write(REPORTS_TABLE, str(window), {"counts": counts}, ABSENT)
             outcome = await self.store.commit([write])
             if isinstance(outcome, Committed):
                 return Report(window, counts)
             # Decided elsewhere, or perhaps here: the row says.
-            row = await self.store.read(REPORTS, str(window))
+            row = await self.store.read(REPORTS_TABLE, str(window))
         if not isinstance(row, Row):
             return None
         counts = parse_counts(row)
         return None if counts is None else Report(window, counts)
 
-    async def add_up(self, window: int) -> dict[str, int] | None:
+    async def sum_counts(self, window: int) -> dict[str, int] | None:
         """Return the counts of all processes; None where they cannot be read."""
         total: collections.Counter = collections.Counter()
-        for shard in range(SHARDS):
-            rows = await self.store.scan(USAGE, "", part_of(window, shard))
+        for shard in range(SHARD_COUNT):
+            rows = await self.store.scan(USAGE_TABLE, "", part_name(window, shard))
             if isinstance(rows, Unavailable):
                 return None
             for row in rows:
                 total.update(parse_counts(row) or {})
         return dict(total)
 
-    async def tell(self, report: Report, lease: Lease) -> None:
+    async def send_report(self, report: Report, lease: Lease) -> None:
         """Tell a report, and remember that it was taken."""
         fence = lease.fence
-        outcome = await self.receiver.tell(report, lease)
+        outcome = await self.receiver.send_report(report, lease)
         self.metrics.count("usage_reports", outcome=type(outcome).__name__)
         logs.event(
             log,
@@ -195,43 +195,49 @@
             requests=sum(report.counts.values()),
             workspaces=len(report.counts),
             fence=fence,
-            late_s=round(self.counter.now() - self.counter.end_of(report.window), 2),
+            late_s=round(
+                self.counter.now() - self.counter.window_end(report.window), 2
+            ),
             outcome=type(outcome).__name__,
             reason=getattr(outcome, "reason", ""),
         )
         if not isinstance(outcome, Committed):
             return
-        self.told[report.window] = True
+        self.reported[report.window] = True
         value = {"counts": report.counts, "told": True}
         # A later holder that is not told of it tells the same once more.
-        await self.store.commit([Write(REPORTS, str(report.window), value)])
+        await self.store.commit([Write(REPORTS_TABLE, str(report.window), value)])
 
-    async def remove_old(self) -> None:
+    async def remove_old_windows(self) -> None:
         """Remove the rows of windows that nobody needs any more, told or not."""
-        horizon = self.counter.window_at(self.counter.now() - KEPT)
-        for window in range(self.first, min(horizon, self.first + WINDOWS_AT_ONCE)):
-            if not await self.remove(window):
+        horizon = self.counter.window_at(self.counter.now() - RETENTION_S)
+        for window in range(
+            self.oldest_window, min(horizon, self.oldest_window + MAX_WINDOWS_PER_STEP)
+        ):
+            if not await self.remove_window(window):
                 return
 
-    async def remove(self, window: int) -> bool:
+    async def remove_window(self, window: int) -> bool:
         """Remove the rows of a window; return whether all are gone."""
-        for shard in range(SHARDS):
-            if not await self.remove_part(part_of(window, shard)):
+        for shard in range(SHARD_COUNT):
+            if not await self.remove_part_rows(part_name(window, shard)):
                 return False
-        first = Write(REPORTS, FIRST, {"window": window + 1})
-        outcome = await self.store.commit([Write(REPORTS, str(window)), first])
+        first = Write(REPORTS_TABLE, OLDEST_WINDOW_KEY, {"window": window + 1})
+        outcome = await self.store.commit([Write(REPORTS_TABLE, str(window)), first])
         if not isinstance(outcome, Committed):
             return False
-        self.told.pop(window, None)
-        self.first = window + 1
+        self.reported.pop(window, None)
+        self.oldest_window = window + 1
         return True
 
-    async def remove_part(self, part: str) -> bool:
+    async def remove_part_rows(self, part: str) -> bool:
         """Remove the rows of one part of a window; return whether all are gone."""
-        rows = await self.store.scan(USAGE, "", part)
+        rows = await self.store.scan(USAGE_TABLE, "", part)
         if isinstance(rows, Unavailable):
             return False
-        writes = [Write(USAGE, row.key, part=part) for row in rows[:REMOVED_AT_ONCE]]
+        writes = [
+            Write(USAGE_TABLE, row.key, part=part) for row in rows[:MAX_ROWS_PER_COMMIT]
+        ]
         if not writes:
             return True
         outcome = await self.store.commit(writes)
--- a/gypsumshift/watch.py
+++ b/gypsumshift/watch.py
@@ -143,7 +143,7 @@
 
     async def poll_changes(self, wait: datetime.timedelta) -> None:
         """Ask for changes, and take them; a whole answer confirms the copy."""
-        began = self.clock.elapsed()
+        began = self.clock.monotonic_with_suspend()
         answer = await self.store.changes(self.table, self.version, wait)
         if self.process_answer(answer, whole=False):
             self.confirmed = True
--- a/gypsumshift/workspaces.py
+++ b/gypsumshift/workspaces.py
@@ -55,7 +55,7 @@
             for digest in workspace.keys
         }
 
-    def find(self, digest: str) -> Workspace | None:
+    def find_by_digest(self, digest: str) -> Workspace | None:
         """Return the workspace whose key has a digest."""
         return self.by_digest.get(digest)
 
--- a/tests/authorization_world.py
+++ b/tests/authorization_world.py
@@ -43,7 +43,7 @@
 
     suspended = 0.0
 
-    def elapsed(self):
+    def monotonic_with_suspend(self):
         return self.seconds + self.suspended
 
 
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -160,7 +160,7 @@
         path = FakeStorePath(self, name)
         gossip = CrashGossip(gateway.guard.table, path, self.clock, self.new_random())
         self.gossips[name] = gossip
-        gateway.joining.append(gossip.run)
+        gateway.peer_tasks.append(gossip.run)
         self.gateway_tasks[name] = self.start_task(gateway.run())
         return gateway
 
--- a/tests/own_time.py
+++ b/tests/own_time.py
@@ -25,7 +25,7 @@
     def monotonic(self):
         return asyncio.get_running_loop().time()
 
-    def elapsed(self):
+    def monotonic_with_suspend(self):
         return self.monotonic()
 
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from gypsumshift.duties import CALL_TIMEOUT, DURATION, Duty, Work
+from gypsumshift.duties import CALL_TIMEOUT_S, LEASE_DURATION_S, DutyRunner, DutyTask
 from gypsumshift.leases import Lease
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import Unavailable, Unknown
@@ -35,7 +35,7 @@
     def monotonic(self):
         return self.world.seconds - self.suspended
 
-    def elapsed(self):
+    def monotonic_with_suspend(self):
         return self.world.seconds
 
 
@@ -76,21 +76,21 @@
             await super().commit(writes)
 
 
-class Telling(Work):
+class Telling(DutyTask):
     """Work that makes a call each time it may; the call takes its time."""
 
     def __init__(self, world, host):
         self.world = world
         self.host = host
 
-    async def take_over(self):
+    async def load_state(self):
         return True
 
-    async def step(self, lease):
-        if not lease.held_for(CALL_TIMEOUT):
+    async def run_step(self, lease):
+        if not lease.is_held_for(CALL_TIMEOUT_S):
             return
         fence = lease.fence
-        self.world.pass_time(min(self.world.call_takes, CALL_TIMEOUT))
+        self.world.pass_time(min(self.world.call_takes, CALL_TIMEOUT_S))
         self.world.acts.append((self.world.seconds, self.host, fence))
 
 
@@ -116,9 +116,15 @@
         clock = HostClock(self)
         owner = f"{host}/{self.starts}"
         lease = Lease(
-            self.tables, "d", owner, clock, DURATION, host=host, return_pause=DURATION
+            self.tables,
+            "d",
+            owner,
+            clock,
+            LEASE_DURATION_S,
+            host=host,
+            return_pause=LEASE_DURATION_S,
         )
-        return Duty(lease, Telling(self, host), clock, random.Random(host))
+        return DutyRunner(lease, Telling(self, host), clock, random.Random(host))
 
     def check(self):
         fences = [fence for _, _, fence in self.acts]
@@ -152,13 +158,13 @@
 def test_a_holder_that_is_gone_is_followed_once_its_lease_has_run_out():
     async def scenario(world):
         one, two, _ = world.duties
-        await one.step()
-        await two.step()
-        world.pass_time(DURATION - 0.1)
-        await two.step()
+        await one.run_once()
+        await two.run_once()
+        world.pass_time(LEASE_DURATION_S - 0.1)
+        await two.run_once()
         assert [host for _, host, _ in world.acts] == ["a"]
         world.pass_time(0.2)
-        await two.step()
+        await two.run_once()
         assert [host for _, host, _ in world.acts] == ["a", "b"]
 
     play(scenario)
@@ -167,10 +173,10 @@
 def test_a_holder_that_stops_is_followed_at_once():
     async def scenario(world):
         one, two, _ = world.duties
-        await one.step()
-        await one.leave()
-        await two.step()
-        await one.step()
+        await one.run_once()
+        await one.stop()
+        await two.run_once()
+        await one.run_once()
         assert [host for _, host, _ in world.acts] == ["a", "b"]
 
     play(scenario)
@@ -179,13 +185,13 @@
 def test_a_host_does_not_come_back_soon_after_another_one_acted():
     async def scenario(world):
         one, two, _ = world.duties
-        await one.step()
-        await one.leave()
-        await two.step()
-        await two.leave()
+        await one.run_once()
+        await one.stop()
+        await two.run_once()
+        await two.stop()
         again = world.start("a")
         for _ in range(8):
-            await again.step()
+            await again.run_once()
             world.pass_time(0.5)
         assert [host for _, host, _ in world.acts][:2] == ["a", "b"]
         assert world.acts[2][1] == "a", "it does come back"
@@ -196,9 +202,9 @@
 def test_two_hosts_of_one_name_are_two():
     async def scenario(world):
         one, two = world.duties
-        await one.step()
+        await one.run_once()
         world.pass_time(0.5)
-        await two.step()
+        await two.run_once()
         assert len(world.acts) == 1
         assert two.lease.fence == 0
 
@@ -208,13 +214,13 @@
 def test_a_holder_that_was_suspended_does_not_act_any_more():
     async def scenario(world):
         one, two, _ = world.duties
-        await one.step()
-        await two.step()
-        world.pass_time(DURATION + 0.1)
-        one.lease.clock.suspended = DURATION + 0.1
+        await one.run_once()
+        await two.run_once()
+        world.pass_time(LEASE_DURATION_S + 0.1)
+        one.lease.clock.suspended = LEASE_DURATION_S + 0.1
         assert not one.lease.held
-        await two.step()
-        await one.act()
+        await two.run_once()
+        await one.run_task()
         assert [host for _, host, _ in world.acts] == ["a", "b"]
 
     play(scenario)
@@ -230,16 +236,16 @@
             await done.wait()
             world.acts.append((world.seconds, "a", lease.fence))
 
-        one.work.step = call
+        one.task.run_step = call
         running = asyncio.create_task(one.run())
         await under_way.wait()
-        leaving = asyncio.create_task(one.leave())
+        leaving = asyncio.create_task(one.stop())
         await asyncio.sleep(0)
-        await two.step()
+        await two.run_once()
         assert not world.acts, "its successor would come before it"
         done.set()
         await leaving
-        await two.step()
+        await two.run_once()
         assert [host for _, host, _ in world.acts] == ["a", "b"]
         running.cancel()
 
@@ -262,17 +268,17 @@
 
     @rule(who=st.integers(0, HOSTS - 1))
     def step(self, who):
-        self.do(self.world.duties[who].step())
+        self.do(self.world.duties[who].run_once())
 
     @rule(who=st.integers(0, HOSTS - 1))
     def stop(self, who):
-        host = self.world.duties[who].work.host
-        self.do(self.world.duties[who].leave())
+        host = self.world.duties[who].task.host
+        self.do(self.world.duties[who].stop())
         self.world.duties[who] = self.world.start(host)
 
     @rule(who=st.integers(0, HOSTS - 1))
     def kill(self, who):
-        host = self.world.duties[who].work.host
+        host = self.world.duties[who].task.host
         self.world.duties[who] = self.world.start(host)
 
     @rule(seconds=st.sampled_from([0.2, 0.9, 1.5, 3.1, 6.5]))
--- a/tests/test_fatal_machine.py
+++ b/tests/test_fatal_machine.py
@@ -135,7 +135,7 @@
             await self.crash_server(self.chance.choice(up), seconds)
 
     async def lose_history(self, seconds):
-        self.tables.forget()
+        self.tables.drop_history()
 
     # Checks.
 
--- a/tests/test_fatal_platform.py
+++ b/tests/test_fatal_platform.py
@@ -37,7 +37,7 @@
     lines = [{"message": r.message, **r.extra} for r in handler.records]
     written = "\n".join(json.dumps(line, default=str) for line in lines)
     (tmp_path / "gateway.log").write_text(written)
-    found = traces.find(tmp_path, "f3")
+    found = traces.find_lines(tmp_path, "f3")
     ended = {line["server"] for line in found if "server" in line}
     refused = next(line for line in found if line.get("request") == "f3")
     assert ended == set(refused["servers"]) and len(ended) == 3
--- a/tests/test_key_commands.py
+++ b/tests/test_key_commands.py
@@ -35,8 +35,8 @@
     text = (folder / "keys.json").read_text()
     assert key not in text and key_digest(key) in text
     catalog = declarations.load(folder)
-    assert catalog.keys.find(key_digest(key)).name == "w"
-    assert catalog.keys.find(key_digest(key + "x")) is None
+    assert catalog.keys.find_by_digest(key_digest(key)).name == "w"
+    assert catalog.keys.find_by_digest(key_digest(key + "x")) is None
     code, out, _ = call("list", folder)
     assert (code, out.split()) == (0, ["first", "w", key_digest(key)])
     code, out, _ = call("list", folder, "--json")
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -31,7 +31,7 @@
 
     @rule(who=st.integers(0, 2))
     def step(self, who):
-        self.loop.run_until_complete(self.leases[who].step())
+        self.loop.run_until_complete(self.leases[who].renew_or_acquire())
 
     @rule(who=st.integers(0, 2))
     def release(self, who):
@@ -72,13 +72,13 @@
     challenger = Lease(tables, "l", "b", clock, DURATION)
 
     async def work():
-        assert await holder.step()
-        assert not await challenger.step()
+        assert await holder.renew_or_acquire()
+        assert not await challenger.renew_or_acquire()
         clock.advance(DURATION - 0.1)
-        assert not await challenger.step()
+        assert not await challenger.renew_or_acquire()
         clock.advance(0.1)
         assert not holder.held
-        assert await challenger.step() and challenger.fence == 2
+        assert await challenger.renew_or_acquire() and challenger.fence == 2
 
     asyncio.run(work())
 
@@ -89,9 +89,9 @@
     challenger = Lease(tables, "l", "b", clock, DURATION)
 
     async def work():
-        await holder.step()
+        await holder.renew_or_acquire()
         await holder.release()
-        assert await challenger.step() and challenger.fence == 2
+        assert await challenger.renew_or_acquire() and challenger.fence == 2
 
     asyncio.run(work())
 
--- a/tests/test_neighbour_registry.py
+++ b/tests/test_neighbour_registry.py
@@ -206,7 +206,7 @@
     async def play(fleet):
         first, gone, silent = await fleet.start()
         await fleet.store.commit([Write(NEIGHBOURS_TABLE, gone.own.name, None)])
-        fleet.store.forget()
+        fleet.store.drop_history()
         await first.watch.poll_once()
         await first.watch.poll_once()
         assert set(first.path.neighbours) == {silent.own.name}
@@ -225,7 +225,7 @@
         for _ in range(3):
             await fleet.listen(first, ENTRY_TIMEOUT_S / 2)
             await fleet.store.commit([Write("other", "row", {})])
-            fleet.store.forget()
+            fleet.store.drop_history()
             await fleet.listen(first, 1)
         await first.announce()
         assert await fleet.store.names() == [first.own.name]
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -169,7 +169,7 @@
         world.store.faults = Faults(down="reset")
         added = route("new", kind="safe", service="app")
         await world.store.put("op", "config", config(5, [added]))
-        world.store.tables.forget()
+        world.store.tables.drop_history()
         world.store.faults = Faults()
         await until(lambda: world.gateway.directory.routes.version == 5)
 
--- a/tests/test_platform_keys.py
+++ b/tests/test_platform_keys.py
@@ -21,7 +21,7 @@
     gateway = world.gateway
     await until(lambda: gateway.directory.routes.version == version)
     watch = next(w for w in gateway.directory_watches if w.table == "op")
-    at = gateway.clock.elapsed()
+    at = gateway.clock.monotonic_with_suspend()
     await until(lambda: watch.confirmed_at > at)
 
 
--- a/tests/test_revocations.py
+++ b/tests/test_revocations.py
@@ -28,7 +28,7 @@
         self.runner.close()
 
     def now(self):
-        return self.world.clock.elapsed()
+        return self.world.clock.monotonic_with_suspend()
 
     @rule(seconds=st.floats(0, 3))
     def wait(self, seconds):
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -23,7 +23,7 @@
         {"time": "3", "message": "other", "request": "r2"},
     )
     write(tmp_path, "a.log", 'x {"time": "1", "message": "first", "request": "r1"}')
-    found = traces.find(tmp_path, "r1")
+    found = traces.find_lines(tmp_path, "r1")
     assert [line["message"] for line in found] == ["first", "second"]
 
 
@@ -40,13 +40,13 @@
 def test_a_flood_of_lines_is_dropped_and_counted(tmp_path):
     now = 0.0
     with (tmp_path / "log").open("w") as file:
-        stream = logs.BoundedStream(file.fileno(), lambda: now)
-        for number in range(int(logs.LINES_AT_ONCE) + 50):
+        stream = logs.RateLimitedStream(file.fileno(), lambda: now)
+        for number in range(int(logs.BURST_LINES) + 50):
             stream.write(f"line {number}\n")
         now = 1.0
         stream.write("later\n")
     text = (tmp_path / "log").read_text().splitlines()
-    assert len(text) == logs.LINES_AT_ONCE + 2
+    assert len(text) == logs.BURST_LINES + 2
     assert text[-2:] == ["50 lines dropped", "later"]
 
 
@@ -70,6 +70,6 @@
         held | {"time": "7", "request": "r9"},
         held | {"time": "5", "request": "r7", "trial": 1},
     )
-    found = traces.find(tmp_path, "r9")
+    found = traces.find_lines(tmp_path, "r9")
     assert [line["time"] for line in found] == ["1", "5", "7"]
     assert found[0]["server"] == "s1"
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -155,7 +155,7 @@
         guard = world.gateways["g0"].guard
         assert guard.loaded
         world.stores["g0"].down = True
-        world.tables.forget()
+        world.tables.drop_history()
         for number in range(3):
             await world.tables.commit([Write("other", f"{number}", {})])
         guard.table.watch.version = -1
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -15,12 +15,12 @@
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import Committed, Unavailable, Unknown
 from gypsumshift.platforms import Write
-from gypsumshift.usage import USAGE, UsageCounter, UsageLog, part_of
+from gypsumshift.usage import USAGE_TABLE, UsageCounter, UsageWriter, part_name
 from gypsumshift.usagereports import (
-    GIVEN_UP,
-    KEPT,
-    REPORTS,
-    SETTLE,
+    REPORT_DEADLINE_S,
+    REPORT_DELAY_S,
+    REPORTS_TABLE,
+    RETENTION_S,
     ReportReceiver,
     UsageReporter,
 )
@@ -44,7 +44,7 @@
         self.outcome = Committed()
         self.takes_and_loses = False
 
-    async def tell(self, report, lease):
+    async def send_report(self, report, lease):
         if isinstance(self.outcome, Committed) or self.takes_and_loses:
             self.told.append((report.window, dict(report.counts), lease.fence))
         return self.outcome
@@ -60,12 +60,12 @@
         self.counter = UsageCounter(self.clock, WIDTH)
         # At the begin of a window.
         now = self.counter.now()
-        self.clock.advance(self.counter.end_of(self.counter.window_at(now)) - now)
+        self.clock.advance(self.counter.window_end(self.counter.window_at(now)) - now)
         self.window = self.counter.window_at(self.counter.now())
 
     def process(self):
         counter = UsageCounter(self.clock, WIDTH)
-        return UsageLog(counter, self.store, self.clock, random.Random(1))
+        return UsageWriter(counter, self.store, self.clock, random.Random(1))
 
     def reporter(self):
         return UsageReporter(self.counter, self.store, self.receiver, METRICS)
@@ -75,8 +75,8 @@
 
     async def hold(self, reporter, lease):
         """Look at the lease, as its holder does each second, and do what is due."""
-        await lease.step()
-        await reporter.step(lease)
+        await lease.renew_or_acquire()
+        await reporter.run_step(lease)
 
 
 def play(scenario, **options):
@@ -88,12 +88,12 @@
         logs = [office.process() for _ in range(3)]
         for number, log in enumerate(logs):
             for _ in range(number + 1):
-                log.counter.note("w", office.counter.now())
-            log.counter.note(f"only-{number}", office.counter.now() + 4.99)
+                log.counter.count_request("w", office.counter.now())
+            log.counter.count_request(f"only-{number}", office.counter.now() + 4.99)
             await log.flush()
         reporter, lease = office.reporter(), office.lease()
-        await lease.step()
-        assert await reporter.take_over()
+        await lease.renew_or_acquire()
+        assert await reporter.load_state()
         for _ in range(20):
             await office.hold(reporter, lease)
             office.clock.advance(0.5)
@@ -106,13 +106,13 @@
 def test_a_window_is_told_before_it_is_due_by_a_stated_margin():
     async def scenario(office):
         reporter, lease = office.reporter(), office.lease()
-        await lease.step()
-        await reporter.take_over()
+        await lease.renew_or_acquire()
+        await reporter.load_state()
         while not office.receiver.told:
             office.clock.advance(0.1)
             await office.hold(reporter, lease)
-        late = office.counter.now() - office.counter.end_of(office.window)
-        assert SETTLE <= late < SETTLE + 0.2
+        late = office.counter.now() - office.counter.window_end(office.window)
+        assert REPORT_DELAY_S <= late < REPORT_DELAY_S + 0.2
 
     play(scenario)
 
@@ -126,24 +126,24 @@
 
     async def scenario(office):
         late = office.process()
-        late.counter.note("w", office.counter.now())
+        late.counter.count_request("w", office.counter.now())
         await late.flush()
         first, lease = office.reporter(), office.lease("a")
-        await lease.step()
-        await first.take_over()
-        office.clock.advance(5 + SETTLE)
-        await lease.step()
+        await lease.renew_or_acquire()
+        await first.load_state()
+        office.clock.advance(5 + REPORT_DELAY_S)
+        await lease.renew_or_acquire()
         # It is told and killed before it notes so.
-        report = await first.decide(office.window)
-        await office.receiver.tell(report, lease)
-        late.counter.note("w", office.counter.end_of(office.window) - 0.1)
+        report = await first.decide_report(office.window)
+        await office.receiver.send_report(report, lease)
+        late.counter.count_request("w", office.counter.window_end(office.window) - 0.1)
         await late.flush()
         office.clock.advance(3)
         second, lease = office.reporter(), office.lease("b")
-        await lease.step()
+        await lease.renew_or_acquire()
         office.clock.advance(3)
-        await lease.step()
-        await second.take_over()
+        await lease.renew_or_acquire()
+        await second.load_state()
         await office.hold(second, lease)
         assert office.receiver.told == [
             (office.window, {"w": 1}, 1),
@@ -157,9 +157,9 @@
 def test_a_report_that_was_not_taken_is_told_again_the_same(outcome):
     async def scenario(office):
         reporter, lease = office.reporter(), office.lease()
-        await lease.step()
-        await reporter.take_over()
-        office.clock.advance(5 + SETTLE)
+        await lease.renew_or_acquire()
+        await reporter.load_state()
+        office.clock.advance(5 + REPORT_DELAY_S)
         office.receiver.outcome = outcome
         office.receiver.takes_and_loses = isinstance(outcome, Unknown)
         await office.hold(reporter, lease)
@@ -177,10 +177,10 @@
 def test_nothing_is_told_by_a_holder_whose_lease_may_end_meanwhile():
     async def scenario(office):
         reporter, lease = office.reporter(), office.lease()
-        await lease.step()
-        await reporter.take_over()
-        office.clock.advance(5 + SETTLE)
-        await reporter.step(lease)
+        await lease.renew_or_acquire()
+        await reporter.load_state()
+        office.clock.advance(5 + REPORT_DELAY_S)
+        await reporter.run_step(lease)
         assert not office.receiver.told
 
     play(scenario)
@@ -189,8 +189,8 @@
 def test_windows_of_an_outage_are_told_behind_it_and_old_ones_are_not():
     async def scenario(office):
         reporter, lease = office.reporter(), office.lease()
-        await lease.step()
-        await reporter.take_over()
+        await lease.renew_or_acquire()
+        await reporter.load_state()
         office.store.down = True
         for _ in range(12):
             office.clock.advance(1)
@@ -199,9 +199,9 @@
         office.store.down = False
         await office.hold(reporter, lease)
         assert [told[0] for told in office.receiver.told] == [office.window]
-        office.clock.advance(GIVEN_UP + 20)
+        office.clock.advance(REPORT_DEADLINE_S + 20)
         await office.hold(reporter, lease)
-        oldest = office.counter.window_at(office.counter.now() - GIVEN_UP)
+        oldest = office.counter.window_at(office.counter.now() - REPORT_DEADLINE_S)
         assert office.receiver.told[-1][0] == oldest
 
     play(scenario)
@@ -211,17 +211,20 @@
     async def scenario(office):
         log = office.process()
         reporter, lease = office.reporter(), office.lease()
-        await lease.step()
-        await reporter.take_over()
-        for _ in range(int(KEPT) * 3):
-            log.counter.note("w", office.counter.now())
+        await lease.renew_or_acquire()
+        await reporter.load_state()
+        for _ in range(int(RETENTION_S) * 3):
+            log.counter.count_request("w", office.counter.now())
             await log.flush()
             await office.hold(reporter, lease)
             office.clock.advance(1)
         tables = [place[0] for place in office.store.rows]
-        most = KEPT / 5 + 3
-        assert tables.count(USAGE) <= most and tables.count(REPORTS) <= most + 1
-        assert len(log.counter.windows) <= 12
+        most = RETENTION_S / 5 + 3
+        assert (
+            tables.count(USAGE_TABLE) <= most
+            and tables.count(REPORTS_TABLE) <= most + 1
+        )
+        assert len(log.counter.counts_by_window) <= 12
         told = [window for window, _, _ in office.receiver.told]
         assert told == list(range(told[0], told[0] + len(told)))
 
@@ -231,13 +234,13 @@
 def test_counts_that_could_not_be_written_are_written_later():
     async def scenario(office):
         log = office.process()
-        log.counter.note("w", office.counter.now())
+        log.counter.count_request("w", office.counter.now())
         office.store.down = True
         await log.flush()
         office.store.down = False
-        log.counter.note("w", office.counter.now())
+        log.counter.count_request("w", office.counter.now())
         await log.flush()
-        assert await office.reporter().add_up(office.window) == {"w": 2}
+        assert await office.reporter().sum_counts(office.window) == {"w": 2}
         before = office.store.version
         await log.flush()
         assert office.store.version == before, "nothing changed"
@@ -247,16 +250,16 @@
 
 def test_rows_of_another_writer_are_left_out():
     async def scenario(office):
-        part = part_of(office.window, 0)
+        part = part_name(office.window, 0)
         log = office.process()
-        log.counter.note("w", office.counter.now())
+        log.counter.count_request("w", office.counter.now())
         await log.flush()
         for value in ({}, {"counts": [1]}, {"counts": {"w": "x"}}):
-            await office.store.commit([Write(USAGE, "other", value, part=part)])
-            assert await office.reporter().add_up(office.window) == {"w": 1}
+            await office.store.commit([Write(USAGE_TABLE, "other", value, part=part)])
+            assert await office.reporter().sum_counts(office.window) == {"w": 1}
         lease = office.lease()
         await office.store.commit([Write("leases", "usage", {"owner": 7})])
-        assert not await lease.step()
+        assert not await lease.renew_or_acquire()
         await lease.release()
 
     play(scenario)
@@ -283,7 +286,7 @@
             await world.store.put("op", "config", value)
             await until(lambda: world.gateway.directory.routes.version == 2)
             await scenario(world, cloud)
-            windows = world.gateway.accounting.counter.windows.values()
+            windows = world.gateway.accounting.counter.counts_by_window.values()
             return {
                 name: sum(counts[name] for counts in windows) for name in ("one", "two")
             }
@@ -362,12 +365,12 @@
 
     async def scenario(world, cloud):
         accounting = world.gateway.accounting
-        await accounting.duty.acting.acquire()
+        await accounting.duty.step_lock.acquire()
         stopping = asyncio.create_task(world.gateway.drain(0.2))
         await asyncio.sleep(0)
         assert all(port.server.draining for port in world.gateway.ports[:1])
         await stopping
-        assert accounting.duty.leaving
+        assert accounting.duty.stopping
 
     count(tmp_path, scenario)
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -243,7 +243,7 @@
     """Have a follower know the table, and learn that changes are lost."""
     await follower.watch.poll_once()
     await store.commit([Write("other", "row", {})])
-    store.forget()
+    store.drop_history()
     await follower.watch.poll_once()
     assert follower.watch.version == -1
 
