--- a/gypsumshift/jobs/placement.py
+++ b/gypsumshift/jobs/placement.py
@@ -287,7 +287,7 @@
     versions : tuple of int
         Versions of all engines of the model, as last reported to the platform.
     position : int
-        Index of the engine among those.
+        Index of the engine among those, from 0.
     newest_age : float
         Seconds since this process first saw the newest version.
     step_arrived : bool
