--- a/gypsumshift/agentnode.py
+++ b/gypsumshift/agentnode.py
@@ -10,8 +10,8 @@
 from gypsumshift.jobs.localengine import AgentIdentity
 from gypsumshift.lifecycle import Node
 from gypsumshift.policy import DEFAULT, Policy
+from gypsumshift.serving.crashguard import CrashGuard
 from gypsumshift.serving.forwarder import Forwarder
-from gypsumshift.serving.guard import Guard
 from gypsumshift.serving.loadbalancer import LoadBalancer
 from gypsumshift.serving.sender import Sender
 
@@ -60,7 +60,7 @@
         liveness: LivenessProbe = NO_PROBE,
         store_writes: float = STORE_WRITES,
     ):
-        self.guard = Guard(store, clock, chance, metrics)
+        self.guard = CrashGuard(store, clock, chance, metrics)
         watches = [*watches, self.guard.table.watch]
         super().__init__(
             directory, watches, LoadBalancer(zone, clock, chance, policy), clock
--- a/gypsumshift/gateway.py
+++ b/gypsumshift/gateway.py
@@ -10,8 +10,8 @@
 from gypsumshift.platforms import RowStore
 from gypsumshift.policy import DEFAULT, Policy
 from gypsumshift.serving.authorization import Authorizer
+from gypsumshift.serving.crashguard import CrashGuard
 from gypsumshift.serving.forwarder import Forwarder
-from gypsumshift.serving.guard import Guard
 from gypsumshift.serving.loadbalancer import LoadBalancer
 from gypsumshift.serving.sender import Sender
 from gypsumshift.serving.streams import StreamRelay
@@ -72,7 +72,7 @@
         self.chance: random.Random = chance
         self.job_manager = JobManager(store, clock, metrics)
         self.directory_watches: list[Watch] = directory_watches
-        self.guard = Guard(store, clock, chance, metrics)
+        self.guard = CrashGuard(store, clock, chance, metrics)
         watches = [
             *directory_watches,
             *self.job_manager.watches,
@@ -94,7 +94,7 @@
         """Whether new callers should come here."""
         if self.leaving or not self.directory.routes.version:
             return False
-        if not self.guard.informed or not self.authorizer.ready:
+        if not self.guard.loaded or not self.authorizer.ready:
             return False
         newest = max(watch.current_at for watch in self.directory_watches)
         return self.clock.monotonic() - newest < STORE_SILENCE
--- a/gypsumshift/jobs/itemrunner.py
+++ b/gypsumshift/jobs/itemrunner.py
@@ -17,8 +17,8 @@
 from gypsumshift.metrics import Metrics
 from gypsumshift.outcomes import HeldBack
 from gypsumshift.platforms import RowStore
+from gypsumshift.serving.crashguard import CrashGuard, Permit
 from gypsumshift.serving.directory import BackendServer
-from gypsumshift.serving.guard import Guard, Permit
 from gypsumshift.serving.liveness import is_gone
 
 __all__ = ["ItemRunner"]
@@ -38,7 +38,7 @@
     ----------
     local_engine : LocalEngine
     weights : WeightManager
-    guard : Guard
+    guard : CrashGuard
     store : RowStore
         Provides the time by which the age of items is determined.
     clock : Clock
@@ -58,7 +58,7 @@
         self,
         local_engine: LocalEngine,
         weights: WeightManager,
-        guard: Guard,
+        guard: CrashGuard,
         store: RowStore,
         clock: Clock,
         metrics: Metrics,
@@ -119,7 +119,7 @@
         server = self.local_engine.server
         if server is None or self.weights.loading_model == run.job.model:
             return None
-        if self.guard.quarantine.keeps_apart(
+        if self.guard.quarantine.must_run_apart(
             run.fingerprint, self.running_fingerprints
         ):
             return None
@@ -142,14 +142,14 @@
             result = await run.generate(server)
             run.generated = result is None
             if run.generated:
-                self.guard.answered(permit, HTTP_OK, from_start)
+                self.guard.record_answer(permit, HTTP_OK, from_start)
             return result
         except StreamBroken as error:
             ran = error.sent
             await self.handle_broken_stream(run, server, error, permit)
             return None
         finally:
-            self.guard.close(permit, ran)
+            self.guard.release_permit(permit, ran)
 
     async def wait_held_back(self, run: ItemRun, held: HeldBack) -> Result | None:
         """Wait until an item may be tried again; return a result if it is given up.
@@ -181,7 +181,7 @@
         )
         ended = error.closed and await is_gone(directory, fetcher, server)
         if ended:
-            self.guard.note_end(permit, server.start)
+            self.guard.record_crash(permit, server.start)
         if error.replaced:
             self.local_engine.replaced_starts.add(server.start)
         self.metrics.count("broken_streams")
--- a/tests/test_fatal_items.py
+++ b/tests/test_fatal_items.py
@@ -17,10 +17,14 @@
 from gypsumshift.jobs import Event, ResultState
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import Answered, HeldBack, Unknown
+from gypsumshift.serving.crashguard import HELD_BACK_REASON, CrashGuard
 from gypsumshift.serving.fingerprints import fingerprint
-from gypsumshift.serving.guard import REASON, Guard
-from gypsumshift.serving.quarantine import ENDED_PAUSE, MOST_ENDS, TRIAL_PAUSES
-from gypsumshift.serving.trialclaims import CRASHES
+from gypsumshift.serving.quarantine import (
+    CRASH_LIMIT,
+    FAILED_TRIAL_DELAY_S,
+    TRIAL_DELAYS_S,
+)
+from gypsumshift.serving.trialclaims import CRASHES_TABLE
 from gypsumshift.watch import run_all
 from tests import job_builders as jw
 from tests import own_time
@@ -106,7 +110,7 @@
     def add(self, name, forwarder, retention):
         engine = self.engines[name] = CrashingEngine(self, name)
         chance = random.Random(name)
-        guard = forwarder.guard = Guard(self.store, self.clock, chance, jw.METRICS)
+        guard = forwarder.guard = CrashGuard(self.store, self.clock, chance, jw.METRICS)
         agent = self.agent(name, engine, forwarder=forwarder, clock=self.clock)
         table = jw.routes(version=2, retention=retention)
         agent.local_engine.directory.set_routes(table)
@@ -141,11 +145,11 @@
         await asyncio.sleep(20)
         done = {result.item for result in await world.listed()}
         assert len(done) == 23 and FATAL_ITEM not in done
-        third_crash_at = world.crashes[MOST_ENDS - 1][0]
+        third_crash_at = world.crashes[CRASH_LIMIT - 1][0]
         await asyncio.sleep(60)
-        assert len(world.crashes) <= MOST_ENDS + len(TRIAL_PAUSES)
+        assert len(world.crashes) <= CRASH_LIMIT + len(TRIAL_DELAYS_S)
         late_crashes = [at for at, _ in world.crashes if at > third_crash_at + 3.0]
-        assert len(late_crashes) <= MOST_ENDS
+        assert len(late_crashes) <= CRASH_LIMIT
 
     play(scenario)
 
@@ -186,21 +190,21 @@
     async def scenario(world):
         world.fatal = {FATAL_ITEM}
         await world.submit(groups=1, size=1)
-        while len(world.crashes) < MOST_ENDS:
+        while len(world.crashes) < CRASH_LIMIT:
             await asyncio.sleep(0.1)
         world.fatal = set()
-        await asyncio.sleep(TRIAL_PAUSES[0] + 2)
+        await asyncio.sleep(TRIAL_DELAYS_S[0] + 2)
         (result,) = await world.listed()
         assert result.state is ResultState.WHOLE
         # Its last engine generated only the rest of the output. The item counts as
         # harmless once an engine generates the whole output.
-        assert [row for row in world.store.rows if row[0] == CRASHES]
-        await asyncio.sleep(TRIAL_PAUSES[1])
+        assert [row for row in world.store.rows if row[0] == CRASHES_TABLE]
+        await asyncio.sleep(TRIAL_DELAYS_S[1])
         body = jw.items(groups=1, size=1, step="job")[0].body
         await world.submit("again", groups=1, size=1, body=body)
         await asyncio.sleep(2)
         assert len(await world.listed("again")) == 1
-        assert not [row for row in world.store.rows if row[0] == CRASHES]
+        assert not [row for row in world.store.rows if row[0] == CRASHES_TABLE]
 
     play(scenario)
 
@@ -241,9 +245,9 @@
             return await super().forward(call)
         self.calls.append(call)
         HoldBackForwarder.sent += 1
-        if HoldBackForwarder.sent <= MOST_ENDS:
+        if HoldBackForwarder.sent <= CRASH_LIMIT:
             return Unknown("its server ended")
-        return HeldBack(REASON, datetime.timedelta(seconds=5))
+        return HeldBack(HELD_BACK_REASON, datetime.timedelta(seconds=5))
 
 
 def test_reward_call_that_is_held_back_does_not_delay_others():
@@ -253,7 +257,7 @@
         await asyncio.sleep(10)
         done = {result.item for result in await world.listed()}
         assert len(done) == 7 and FATAL_ITEM not in done
-        assert HoldBackForwarder.sent <= MOST_ENDS + 10, "retried about once a second"
+        assert HoldBackForwarder.sent <= CRASH_LIMIT + 10, "retried about once a second"
         (agent,) = world.agents.values()
         assert agent.runner.scoring_count == 0
 
@@ -280,7 +284,8 @@
         async def forward(self, call):
             answer = await super().forward(call)
             admitted = (
-                isinstance(answer, HeldBack) and HoldBackForwarder.sent > MOST_ENDS + 2
+                isinstance(answer, HeldBack)
+                and HoldBackForwarder.sent > CRASH_LIMIT + 2
             )
             score = ((jw.NAMES.signature, f"signed-{call.id}"),)
             return Answered(200, score) if admitted else answer
@@ -300,7 +305,7 @@
     item = next(i for i in jw.items(6, 4, step=job) if i.id == item_id)
     name = fingerprint("POST", jw.HOST, item.path, "", item.body)
     guards = (agent.runner.forwarder.guard for agent in world.agents.values())
-    return max(guard.quarantine.ends(name) for guard in guards)
+    return max(guard.quarantine.crash_count(name) for guard in guards)
 
 
 async def unfinished_items(world, job):
@@ -333,13 +338,13 @@
         await asyncio.sleep(45)
         for job in jobs:
             for item in await unfinished_items(world, job):
-                assert crashes_under(world, job, item) > MOST_ENDS, item
-        await asyncio.sleep(ENDED_PAUSE)
+                assert crashes_under(world, job, item) > CRASH_LIMIT, item
+        await asyncio.sleep(FAILED_TRIAL_DELAY_S)
         for job in jobs:
             done = {result.item for result in await world.listed(job)}
             assert len(done) == 23 and not done & world.fatal
         for item in world.fatal:
             crash_times = [at for at, under in world.crashes if under == item]
-            assert len(crash_times) <= MOST_ENDS + len(TRIAL_PAUSES) + 1
+            assert len(crash_times) <= CRASH_LIMIT + len(TRIAL_DELAYS_S) + 1
 
     play(scenario)
