--- a/gypsumshift/jobs/heartbeatwriter.py
+++ b/gypsumshift/jobs/heartbeatwriter.py
@@ -63,7 +63,8 @@
     Attributes
     ----------
     last_heartbeat : Heartbeat
-        The last heartbeat that was built for writing, stored or not.
+        Last heartbeat of the agent, stored or not; at first that of its previous
+        process.
     version : int
         Version of its row, as far as the store's answers name it; 0 for none.
     """
--- a/gypsumshift/jobs/localengine.py
+++ b/gypsumshift/jobs/localengine.py
@@ -136,7 +136,7 @@
         if not self.healthy:
             logs.event(
                 log,
-                "The engine sends reports.",
+                "Received a report; the engine is healthy.",
                 versions=report.versions,
             )
         self.report = report
--- a/gypsumshift/jobs/pace.py
+++ b/gypsumshift/jobs/pace.py
@@ -17,7 +17,7 @@
 # Gaps required for a median: with fewer, a single pause would determine it.
 MIN_GAPS = 10
 # Seconds that the gaps have to span. An engine that starts a dozen items with new
-# weights reads all their prompts anew, and gaps are two to three times as long for
+# weights reads all their prompts again, and gaps are two to three times as long for
 # 0.2 s: two healthy engines of five were classified as slow and handed 12 items over.
 MIN_SPAN = 0.5
 # Ratio to the peers' median pace above which an engine is slow. Full engines take half
--- a/gypsumshift/jobs/peers.py
+++ b/gypsumshift/jobs/peers.py
@@ -66,7 +66,11 @@
 
 
 class HolderState(enum.Enum):
-    """Liveness of the agent that holds a claim, as far as this agent can tell."""
+    """Liveness of the agent that holds a claim, as far as this agent can tell.
+
+    ``SILENT`` agents have sent no heartbeat within `HEARTBEAT_TIMEOUT` and have to be
+    probed. The session of ``GONE`` agents has ended: a newer row names another one.
+    """
 
     WORKS = "works"
     SILENT = "silent"
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -283,8 +283,8 @@
     agent.local_engine.directory.forget_server("e-a")
     await until(lambda: agent.weights.fence)
     row = await world.store.read(AGENTS, "a")
-    told = {key: row.value[key] for key in ("engine", "home", "usual")}
-    assert told == {"engine": "e-a", "home": MODEL, "usual": 0.05}
+    stored = {key: row.value[key] for key in ("engine", "home", "usual")}
+    assert stored == {"engine": "e-a", "home": MODEL, "usual": 0.05}
     agent.local_engine.directory.set_server(server("e-new"))
     await until(lambda: agent.heartbeat_writer.last_heartbeat.engine == "e-new")
     assert agent.heartbeat_writer.last_heartbeat.usual == 0, (
@@ -304,5 +304,5 @@
     assert agent.heartbeat_writer.usual_pace() == 0.05
     directory.set_server(attrs.evolve(server("e-a"), born=2))
     assert agent.heartbeat_writer.usual_pace() == 0
-    told = agent.heartbeat_writer.next_heartbeat()
-    assert (told.born, told.usual, told.home) == (2, 0, MODEL)
+    heartbeat = agent.heartbeat_writer.next_heartbeat()
+    assert (heartbeat.born, heartbeat.usual, heartbeat.home) == (2, 0, MODEL)
--- a/tests/test_late_machine.py
+++ b/tests/test_late_machine.py
@@ -171,7 +171,7 @@
         for name, job in self.jobs.items():
             items = [result.item for result in self.results[name].values()]
             expected = [item for unit in job.units for item in unit.items]
-            assert sorted(items) == sorted(expected), "each item stands once"
+            assert sorted(items) == sorted(expected), "each item has exactly one result"
 
 
 @pytest.mark.parametrize("seed", range(10))
