--- a/gypsumshift/serving/crashtable.py
+++ b/gypsumshift/serving/crashtable.py
@@ -6,7 +6,7 @@
 
 Two alternatives were rejected. With one row per request, replaced conditionally,
 processes that observe crashes at the same moment would conflict with each other. With
-heartbeats between processes alone, a restarted process would know of no crashes, and
+heartbeats between processes alone, a restarted process would have no records, and
 processes could not agree on which of them makes a trial.
 """
 
--- a/gypsumshift/serving/trialclaims.py
+++ b/gypsumshift/serving/trialclaims.py
@@ -30,7 +30,7 @@
     OTHER
         Another process has the claim; it makes the trial or has made it.
     UNCERTAIN
-        The store did not answer or could not tell.
+        The store did not answer or could not determine the result.
     """
 
     OWN = "own"
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -135,7 +135,7 @@
         return f"i-{next(self.numbers)}"
 
     def start_gateway(self, name):
-        """Start or restart a gateway that knows the servers listed now."""
+        """Start or restart a gateway whose directory lists the running servers."""
         if name in self.gateway_tasks:
             self.gateway_tasks[name].cancel()
         self.stores[name] = GatewayStore(self.tables, self.new_random())
--- a/tests/test_fatal_machine.py
+++ b/tests/test_fatal_machine.py
@@ -20,7 +20,7 @@
 # Time with faults, and time without faults after it.
 FAULTS_S, CALM_S = 25.0, 8.0
 # Time without disturbance after which a gateway counts as connected, time within which
-# all connected gateways know of the crashes, and number of requests that these may
+# all connected gateways receive the crashes, and number of requests that these may
 # still send to servers after that.
 CONNECTED_AFTER_S, PROPAGATION_LIMIT_S, LATE_REQUESTS_ALLOWED = 3.0, 3.0, 3
 FATAL = (b"fatal one", b"fatal two")
--- a/tests/test_fatal_platform.py
+++ b/tests/test_fatal_platform.py
@@ -38,9 +38,9 @@
     written = "\n".join(json.dumps(line, default=str) for line in lines)
     (tmp_path / "gateway.log").write_text(written)
     found = traces.find(tmp_path, "f3")
-    ended = {line["server"] for line in found if "server" in line}
+    crashed = {line["server"] for line in found if "server" in line}
     refused = next(line for line in found if line.get("request") == "f3")
-    assert ended == set(refused["servers"]) and len(ended) == 3
+    assert crashed == set(refused["servers"]) and len(crashed) == 3
     assert refused["requests"] == ["f1", "f2"]
     assert "fatal" not in written and "secret" not in written
 
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -27,14 +27,14 @@
     run_scenario,
 )
 
-# Time within which all gateways know of the crashes, and number of runs allowed later.
+# Time until all gateways have received the crashes, and number of runs allowed later.
 PROPAGATION_LIMIT_S, SENDS_ALLOWED = 3.0, 3
 # Time until a sound request is served again after its servers restarted.
 RECOVERY_LIMIT_S = 2.0
 
 
 def check_held_back(world, body=POISON):
-    """Check that the request ran few times once all gateways could know its crashes."""
+    """Check that the request ran few times once all gateways had its crashes."""
     late = world.late_runs(body, PROPAGATION_LIMIT_S)
     assert len(late) <= SENDS_ALLOWED, late
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -32,19 +32,19 @@
     return Crash(key, fingerprint, f"r-{key}", start, clock.monotonic())
 
 
-def make(ends=0, fingerprint="f"):
+def make(crash_count=0, fingerprint="f"):
     """Return a quarantine with a number of crashes under one request, and its clock."""
     clock = ManualClock()
     quarantine = Quarantine(clock)
-    for number in range(ends):
+    for number in range(crash_count):
         quarantine.add_crash(crash(clock, f"{fingerprint}{number}", fingerprint))
     return quarantine, clock
 
 
 def test_a_request_is_held_back_after_three_server_crashes():
-    quarantine, _ = make(ends=CRASH_LIMIT - 1)
+    quarantine, _ = make(crash_count=CRASH_LIMIT - 1)
     assert not quarantine.is_held_back("f")
-    quarantine, _ = make(ends=CRASH_LIMIT)
+    quarantine, _ = make(crash_count=CRASH_LIMIT)
     assert quarantine.is_held_back("f") and not quarantine.is_held_back("another")
 
 
@@ -74,7 +74,7 @@
 
 
 def test_a_request_that_ran_beside_one_with_more_crashes_is_not_held_back():
-    quarantine, clock = make(ends=CRASH_LIMIT)
+    quarantine, clock = make(crash_count=CRASH_LIMIT)
     for number in range(CRASH_LIMIT):
         beside = crash(clock, f"beside {number}", "beside", server=f"s-f{number}")
         quarantine.add_crash(beside)
@@ -87,7 +87,7 @@
 
 def test_two_held_back_requests_must_not_run_at_one_server():
     """The crash of the server counts for both; a sound request lost its trial so."""
-    quarantine, clock = make(ends=CRASH_LIMIT)
+    quarantine, clock = make(crash_count=CRASH_LIMIT)
     for number in range(CRASH_LIMIT):
         quarantine.add_crash(crash(clock, f"g{number}", "g"))
     for number in range(CRASH_LIMIT - 1):
@@ -98,13 +98,13 @@
 
 
 def test_clear_removes_the_record_and_returns_its_crash_keys():
-    quarantine, _ = make(ends=CRASH_LIMIT)
+    quarantine, _ = make(crash_count=CRASH_LIMIT)
     assert sorted(quarantine.clear("f")) == ["f0", "f1", "f2"]
     assert not quarantine.is_held_back("f") and not quarantine.records
 
 
 def test_failed_trials_are_limited_in_number_and_increase_the_delay():
-    quarantine, clock = make(ends=CRASH_LIMIT)
+    quarantine, clock = make(crash_count=CRASH_LIMIT)
     for number, pause in enumerate((FIRST_DELAY_S, FAILED_TRIAL_DELAY_S), 1):
         assert not quarantine.is_trial_due("f")
         assert quarantine.seconds_to_trial("f") == pause
@@ -119,7 +119,7 @@
 
 
 def test_after_a_trial_without_crash_the_next_one_is_due_after_the_second_delay():
-    quarantine, clock = make(ends=CRASH_LIMIT)
+    quarantine, clock = make(crash_count=CRASH_LIMIT)
     clock.advance(FIRST_DELAY_S)
     quarantine.record_trial("f", 1)
     clock.advance(SECOND_DELAY_S)
@@ -127,7 +127,7 @@
 
 
 def test_a_withdrawn_trial_is_due_again_after_the_first_delay():
-    quarantine, clock = make(ends=CRASH_LIMIT)
+    quarantine, clock = make(crash_count=CRASH_LIMIT)
     clock.advance(FIRST_DELAY_S)
     quarantine.record_trial("f", 1)
     clock.advance(SECOND_DELAY_S)
@@ -139,7 +139,7 @@
 
 
 def test_the_trial_count_ignores_lower_numbers_and_their_withdrawal():
-    quarantine, clock = make(ends=CRASH_LIMIT)
+    quarantine, clock = make(crash_count=CRASH_LIMIT)
     clock.advance(FIRST_DELAY_S)
     quarantine.record_trial("f", 2)
     quarantine.record_trial("f", 1)
@@ -149,7 +149,7 @@
 
 
 def test_crashes_are_removed_after_the_retention_time():
-    quarantine, clock = make(ends=CRASH_LIMIT)
+    quarantine, clock = make(crash_count=CRASH_LIMIT)
     clock.advance(CRASH_RETENTION_S - 1)
     quarantine.remove_expired()
     assert quarantine.is_held_back("f")
@@ -166,7 +166,7 @@
 
 
 def test_a_flood_of_different_requests_is_limited_and_evicts_no_held_back_request():
-    quarantine, clock = make(ends=CRASH_LIMIT)
+    quarantine, clock = make(crash_count=CRASH_LIMIT)
     removed = []
     for number in range(10 * MAX_RECORDS):
         clock.advance(0.01)
