--- a/tests/job_builders.py
+++ b/tests/job_builders.py
@@ -243,7 +243,7 @@
 
 
 class ScriptedLivenessProbe(LivenessProbe):
-    """Presence with a fixed set of working agents; records the agents checked."""
+    """Probe with a fixed set of live agents; records the agents that were checked."""
 
     def __init__(self, *working):
         self.working = set(working)
@@ -271,7 +271,7 @@
         name="a",
         engine=None,
         store=None,
-        presence=NO_PROBE,
+        liveness=NO_PROBE,
         forwarder=None,
         clock=None,
     ):
@@ -290,7 +290,7 @@
             clock or SystemClock(),
             chance,
             METRICS,
-            liveness=presence,
+            liveness=liveness,
         )
         self.agents[name] = agent
         self.tasks.append(asyncio.create_task(agent.run()))
