--- a/gypsumshift/serving/authorization.py
+++ b/gypsumshift/serving/authorization.py
@@ -1,8 +1,8 @@
-"""Admission: whether a request may run, by the key that it carries.
+"""Authorization of requests by the workspace key that they carry.
 
-The decision answers three kinds of host: one that knows the newest configuration, one
-that may not know it any more, and one that does not know any yet. Only the first may
-say that a key is good, or that it is none.
+A host holds the newest configuration, one that may be outdated, or none yet. Only a
+host with the newest configuration may accept a key, or reject it as unknown; the
+others answer that they cannot decide.
 """
 
 import datetime
@@ -25,35 +25,37 @@
     "Verdict",
 ]
 
-# Seconds after which a caller may come back: another host may know more.
-RETRY_AFTER = 0.25
-# Seconds within which the configuration must have been confirmed for a key to be called
-# unknown; else the store is asked: a flood of wrong keys costs two calls a second.
-UNKNOWN_AGE = 0.5
-# Seconds that a log line tells at the most of an age that has no end.
-LONGEST_TOLD = 1e6
-KEY_NOT_CONFIRMED = "the key may not be good any more"
+# Delay after which a caller may retry, possibly at a host with a newer configuration.
+RETRY_AFTER_SECONDS = 0.25
+# A key is rejected as unknown only if the configuration was confirmed within this time;
+# otherwise the store is queried first. This limits a flood of wrong keys to two store
+# calls per second.
+UNKNOWN_KEY_MAX_AGE_SECONDS = 0.5
+# Largest age written to the log, since the age of an unconfirmed configuration is
+# infinite.
+MAX_LOGGED_AGE_SECONDS = 1e6
+KEY_NOT_CONFIRMED = "the key may not be valid any more"
 
 log = logs.logger("admission")
 
 
 @attrs.frozen
 class UnknownKey:
-    """No workspace has the key: the caller must not come back with it."""
+    """No workspace has the key; the caller must not retry with it."""
 
 
 @attrs.frozen
 class Grant:
-    """Leave to have servers run a request.
+    """Permission to have backend servers run a request.
 
     Attributes
     ----------
     workspace : str
-        Name of the workspace for which it runs; empty for none.
+        Name of the workspace for which the request runs; empty for none.
     digest : str
-        Of the key; see `key_digest`.
+        Digest of the key; see `key_digest`.
     authorizer : Authorizer or None
-        Asked again before each send; None where no key is needed.
+        Checks the grant again before each send; None if no key is needed.
     """
 
     workspace: str = ""
@@ -62,21 +64,21 @@
 
     @property
     def is_valid(self) -> bool:
-        """Whether a server may still be sent the request.
+        """Whether the request may still be sent to a backend server.
 
-        A host that was suspended since the request came, or that lost the store while
-        the request waited, must not act on what it knew before.
+        A host that was suspended since the request arrived, or that lost the store
+        while the request waited, must not act on an outdated configuration.
         """
         return self.authorizer is None or self.authorizer.is_grant_valid(self)
 
 
-# Leave for what needs no key.
+# Grant for requests that need no key.
 KEYLESS_GRANT = Grant()
 Verdict = Grant | UnknownKey | CannotTell
 
 
 class Authorizer:
-    """Decides by the configuration that is known here, and by its age.
+    """Authorizes requests by the configuration in memory and its age.
 
     Parameters
     ----------
@@ -94,90 +96,100 @@
 
     @property
     def ready(self) -> bool:
-        """Whether callers with keys should come here."""
+        """Whether this host should receive requests with keys."""
         required = self.directory.routes.workspaces.required
         return not required or self.freshness.ready
 
     async def authorize(self, request: str, key: str, public: bool = False) -> Verdict:
-        """Return whether a request may run.
+        """Return whether a request may run, and for which workspace.
 
         Parameters
         ----------
         request : str
             Id of the request, for the log.
         key : str
-            As the caller sent it; empty for none.
+            Key as the caller sent it; empty for none.
         public : bool
-            Whether its route needs no key.
+            Whether the request's route needs no key.
         """
         if not self.directory.routes.version:
-            return self.noted(request, cannot_tell("no configuration yet"))
+            return self.record_verdict(request, cannot_tell("no configuration yet"))
         if public or not self.directory.routes.workspaces.required:
             return KEYLESS_GRANT
-        return self.noted(request, await self.look_up(key, lasting=True))
+        return self.record_verdict(
+            request, await self.resolve_key(key, must_be_current=True)
+        )
 
-    def noted(self, request: str, verdict: Verdict) -> Verdict:
-        """Count a verdict, and log one that lets nothing run."""
+    def record_verdict(self, request: str, verdict: Verdict) -> Verdict:
+        """Count a verdict in the metrics, and log it unless it is a grant."""
         name = type(verdict).__name__
         self.metrics.count("admissions", verdict=name)
         if not isinstance(verdict, Grant):
             logs.event(
                 log,
-                "A request is not admitted.",
+                "Request not authorized; it is not run.",
                 request=request,
                 verdict=name,
                 reason=getattr(verdict, "reason", "no workspace has the key"),
                 configuration=self.directory.routes.version,
-                confirmed_s_ago=round(min(self.freshness.age, LONGEST_TOLD), 3),
+                confirmed_s_ago=round(
+                    min(self.freshness.age, MAX_LOGGED_AGE_SECONDS), 3
+                ),
             )
         return verdict
 
     async def identify(self, request: str, key: str) -> Verdict:
-        """Return whose batch jobs a caller may read and end.
+        """Return the workspace whose batch jobs a caller may read and end.
 
-        Without a key, those that were submitted without one. A key is taken as it was
-        heard of last: what was accepted is read also while nothing is heard.
+        Without a key, these are the jobs that were submitted without one. A key is
+        looked up in the last configuration received, whatever its age, so that jobs
+        that were accepted can be read while the store is unreachable.
         """
         if not self.directory.routes.version:
-            return self.noted(request, cannot_tell("no configuration yet"))
+            return self.record_verdict(request, cannot_tell("no configuration yet"))
         if not key or not self.directory.routes.workspaces.required:
             return KEYLESS_GRANT
-        return self.noted(request, await self.look_up(key, lasting=False))
+        return self.record_verdict(
+            request, await self.resolve_key(key, must_be_current=False)
+        )
 
-    async def look_up(self, key: str, lasting: bool) -> Verdict:
-        """Return whose key it is; the store is asked where this host may not know.
+    async def resolve_key(self, key: str, must_be_current: bool) -> Verdict:
+        """Return the verdict on a key, querying the store if memory cannot decide.
 
         Parameters
         ----------
         key : str
-        lasting : bool
-            Whether it must be good still, as for a request that is to run.
+        must_be_current : bool
+            Whether the key must still be valid, as for a request that is to run.
         """
         digest = key_digest(key)
-        verdict = self.decide(digest, lasting)
+        verdict = self.resolve_from_memory(digest, must_be_current)
         if isinstance(verdict, CannotTell):
             await self.freshness.confirm()
-            verdict = self.decide(digest, lasting)
+            verdict = self.resolve_from_memory(digest, must_be_current)
         return verdict
 
-    def decide(self, digest: str, lasting: bool) -> Verdict:
-        """Return what is known of a key here and now."""
+    def resolve_from_memory(self, digest: str, must_be_current: bool) -> Verdict:
+        """Return the verdict on a key from the configuration in memory."""
         workspace = self.directory.routes.workspaces.find(digest)
         if workspace is None:
-            if self.freshness.age <= UNKNOWN_AGE:
+            if self.freshness.age <= UNKNOWN_KEY_MAX_AGE_SECONDS:
                 return UnknownKey()
             return cannot_tell("a newer configuration may hold the key")
-        if lasting and not self.freshness.keys_accepted:
-            return cannot_tell("a newer configuration may have taken the key away")
+        if must_be_current and not self.freshness.keys_accepted:
+            return cannot_tell("a newer configuration may have revoked the key")
         return Grant(workspace.name, digest, self)
 
     def is_grant_valid(self, grant: Grant) -> bool:
-        """Tell whether a key is still the same workspace's, as far as can be known."""
+        """Return whether a grant's key still belongs to its workspace.
+
+        False as well if the configuration is too old to accept keys.
+        """
         workspace = self.directory.routes.workspaces.find(grant.digest)
         known = workspace is not None and workspace.name == grant.workspace
         return known and self.freshness.keys_accepted
 
 
 def cannot_tell(reason: str) -> CannotTell:
-    """Return a refusal of a host that may not know enough."""
-    return CannotTell(reason, datetime.timedelta(seconds=RETRY_AFTER))
+    """Return the verdict of a host whose configuration may be outdated."""
+    return CannotTell(reason, datetime.timedelta(seconds=RETRY_AFTER_SECONDS))
--- a/gypsumshift/serving/freshness.py
+++ b/gypsumshift/serving/freshness.py
@@ -1,11 +1,12 @@
-"""Currency: whether the configuration known here is new enough to go by.
+"""Freshness of the configuration in memory, which decides whether keys are accepted.
 
-A key that was taken away must stop working at every host within a bound, also at one
-that hears nothing: such a host knows only how long it has heard nothing. So a key is
-good only while the configuration was confirmed by an exchange with the store that
-*began* within the bound. It is counted from the beginning, since the store may have
-answered at once and the answer have taken its time, and by a clock that goes on while
-the host is suspended. No clocks of two hosts are compared.
+A revoked key must stop working at every host within a bound, also at a host that
+cannot reach the store and knows only for how long that has been so. Keys are therefore
+accepted only if the configuration was confirmed by an exchange with the store that
+*began* within the bound. The age counts from the beginning of the exchange, since the
+store may have answered at once and the answer may have been delayed on the way. It is
+measured by a clock that continues while the host is suspended. Clocks of different
+hosts are never compared.
 """
 
 import asyncio
@@ -19,29 +20,30 @@
 
 __all__ = ["ConfigFreshness"]
 
-# Part of the bound that is used: the rest is for clocks that differ in their pace, and
-# for the time between a request's arrival and the look at the clock.
+# Share of the bound for which keys are accepted. The rest allows for clocks that run at
+# different rates, and for the time between a request's arrival and the check.
 BOUND_SHARE = 0.9
-# Part of the bound after which new callers should go elsewhere, which the balancer
-# takes two questions, a second apart, to do.
+# Share of the bound after which this host reports that it is not ready, so that new
+# callers go elsewhere. The external load balancer needs two health checks, a second
+# apart, to react.
 READY_SHARE = 0.5
-# Seconds for which a request waits until the store has confirmed the configuration: it
-# answers in 5 ms. A caller that waits longer is better served elsewhere.
-CONFIRM_TIMEOUT = 0.1
+# How long a request waits for the store to confirm the configuration. The store usually
+# answers in 5 ms; a caller that would wait longer is better served by another host.
+CONFIRM_TIMEOUT_SECONDS = 0.1
 
 
 class ConfigFreshness:
-    """Tells whether what is known of the configuration may be gone by.
+    """Determines whether the configuration in memory is recent enough to accept keys.
 
     Parameters
     ----------
     watch : Watch
-        Follows the table that holds the configuration.
+        Watch of the table that holds the configuration.
     directory : Directory
     clock : Clock
     bound : timedelta or None
-        Time within which a key that was taken away must not work any more; None where
-        it may go on wherever the configuration is not heard.
+        Time within which a revoked key must stop working; None if it may continue to
+        work at hosts that do not receive the configuration.
     """
 
     def __init__(
@@ -58,28 +60,29 @@
 
     @property
     def age(self) -> float:
-        """Seconds since the begin of the exchange that confirmed the configuration."""
+        """Seconds since the exchange that confirmed the configuration began."""
         if self.directory.config_unreadable:
             return math.inf
         return self.clock.elapsed() - self.watch.confirmed_at
 
     @property
     def keys_accepted(self) -> bool:
-        """Whether a key may be taken for good."""
+        """Whether keys may be accepted by the configuration in memory."""
         return self.bound == math.inf or self.age < BOUND_SHARE * self.bound
 
     @property
     def ready(self) -> bool:
-        """Whether that will hold for long enough to invite callers."""
+        """Whether keys will be accepted for long enough to receive new callers."""
         return self.bound == math.inf or self.age < READY_SHARE * self.bound
 
     async def confirm(self) -> None:
-        """Ask the store at once whether the configuration is the newest.
+        """Query the store at once for whether the configuration is the newest.
 
-        Not while it does not answer: whoever waits for it would be held up for nothing.
+        Does nothing while the store does not answer, so that requests are not delayed
+        in vain.
         """
         if self.watch.failures:
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(CONFIRM_TIMEOUT):
+            async with asyncio.timeout(CONFIRM_TIMEOUT_SECONDS):
                 await self.watch.confirm()
--- a/tests/authorization_world.py
+++ b/tests/authorization_world.py
@@ -1,4 +1,4 @@
-"""Builders of one host, a store, and an operator who gives and takes keys."""
+"""Fixture of one host, a store, and an operator who adds and revokes keys."""
 
 import datetime
 
@@ -19,10 +19,10 @@
 
 
 class FakeStore(MemoryTables):
-    """A store that answers at once, after a while, or not."""
+    """A store that answers at once, after a delay, or not at all."""
 
-    away = False
-    takes = 0.0
+    unavailable = False
+    delay = 0.0
     calls = 0
 
     def __init__(self, clock):
@@ -31,10 +31,10 @@
 
     async def changes(self, table, after, wait):
         self.calls += 1
-        if self.away:
+        if self.unavailable:
             return Unavailable("away")
         answer = await super().changes(table, after, datetime.timedelta())
-        self.clock.advance(self.takes)
+        self.clock.advance(self.delay)
         return answer
 
 
@@ -48,35 +48,37 @@
 
 
 class AuthorizationWorld:
-    """One host, the store, and an operator who gives and takes keys."""
+    """One host, its store, and an operator who adds and revokes keys."""
 
     def __init__(self, bound=BOUND):
         self.clock = SuspendedClock()
         self.store = FakeStore(self.clock)
         self.directory = Directory()
-        self.watch = Watch(self.store, TABLE, self.take, self.take, self.clock)
+        self.watch = Watch(
+            self.store, TABLE, self.apply_rows, self.apply_rows, self.clock
+        )
         self.freshness = ConfigFreshness(self.watch, self.directory, self.clock, bound)
         self.authorizer = Authorizer(self.directory, self.freshness, METRICS)
         self.version = 0
 
-    def take(self, rows):
+    def apply_rows(self, rows):
         for row in rows:
-            found = [
+            workspace_list = [
                 Workspace(name, frozenset(key_digest(key) for key in keys))
                 for name, keys in row.value["workspaces"].items()
             ]
-            workspaces = Workspaces(found, required=True)
+            workspaces = Workspaces(workspace_list, required=True)
             version = row.value["version"]
             self.directory.set_routes(RouteTable(version, workspaces=workspaces))
 
     async def write(self, **workspaces):
-        """Have the store hold a configuration with these keys."""
+        """Store a configuration with the given keys by workspace."""
         self.version += 1
         value = {"version": self.version, "workspaces": workspaces}
         await self.store.commit([Write(TABLE, "config", value)])
 
     async def refresh(self):
-        """Have the host ask the store, until all is known and confirmed."""
+        """Query the store until the configuration is received and confirmed."""
         for _ in range(2):
             await self.watch.step()
 
--- a/tests/test_authorization.py
+++ b/tests/test_authorization.py
@@ -1,8 +1,8 @@
-"""Whether a request may run, by its key and by what this host can know of it.
+"""Authorization of requests by key and by the age of the configuration.
 
-Callers carry keys of workspaces. A host that was cut from the store, or suspended, went
-on running requests whose keys had been taken away everywhere else; a host that did not
-know a new key yet called it unknown, and its caller never came back.
+Guards against two failures. A host that lost the store, or was suspended, continued to
+run requests whose keys had been revoked. A host that had not yet received a new key
+rejected it as unknown, so that the caller never retried.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
     asyncio.run(scenario(AuthorizationWorld(**options)))
 
 
-def test_a_key_names_its_workspace_and_no_other():
+def test_a_key_grants_its_own_workspace_and_unknown_keys_are_rejected():
     async def scenario(world):
         await world.write(one=["a", "b"], two=["c"])
         await world.refresh()
@@ -34,7 +34,7 @@
     play(scenario)
 
 
-def test_a_host_without_a_configuration_calls_no_key_unknown():
+def test_a_host_without_a_configuration_cannot_tell_for_any_key():
     async def scenario(world):
         for verdict in (
             await world.authorize(""),
@@ -45,7 +45,7 @@
     play(scenario)
 
 
-def test_a_public_route_needs_no_key_whatever_is_known():
+def test_a_public_route_needs_no_key_even_with_an_old_configuration():
     async def scenario(world):
         await world.write(one=["a"])
         await world.refresh()
@@ -55,48 +55,48 @@
     play(scenario)
 
 
-def test_a_host_that_hears_nothing_runs_nothing_by_a_key():
+def test_keys_are_not_accepted_once_the_configuration_is_too_old():
     async def scenario(world):
         await world.write(one=["k"])
         await world.refresh()
         grant = await world.authorize()
-        world.store.away = True
+        world.store.unavailable = True
         world.clock.advance(4.4)
         assert isinstance(await world.authorize(), Grant) and grant.is_valid
         world.clock.advance(0.2)
         assert isinstance(await world.authorize(), CannotTell)
-        # What was let in before is not sent on, either.
+        # Requests authorized before are not sent any more either.
         assert not grant.is_valid
 
     play(scenario)
 
 
-def test_time_in_which_a_host_was_suspended_counts():
+def test_suspended_time_counts_towards_the_age_of_the_configuration():
     async def scenario(world):
         await world.write(one=["k"])
         await world.refresh()
         grant = await world.authorize()
         world.clock.suspended = 6.0
         assert not grant.is_valid
-        world.store.away = True
+        world.store.unavailable = True
         assert isinstance(await world.authorize(), CannotTell)
 
     play(scenario)
 
 
-def test_an_answer_that_took_long_confirms_only_what_was_so_when_it_was_asked():
+def test_a_slow_answer_of_the_store_confirms_only_the_time_of_the_query():
     async def scenario(world):
         await world.write(one=["k"])
         await world.refresh()
-        world.store.takes = 5.0
+        world.store.delay = 5.0
         await world.watch.step()
-        world.store.away = True
+        world.store.unavailable = True
         assert isinstance(await world.authorize(), CannotTell)
 
     play(scenario)
 
 
-def test_a_key_that_the_host_does_not_know_yet_is_asked_for_before_it_is_unknown():
+def test_a_new_key_is_looked_up_in_the_store_before_it_is_rejected():
     async def scenario(world):
         await world.write(one=["k"])
         await world.refresh()
@@ -108,7 +108,7 @@
     play(scenario)
 
 
-def test_a_flood_of_wrong_keys_costs_the_store_little():
+def test_a_flood_of_wrong_keys_causes_few_store_calls():
     async def scenario(world):
         await world.write(one=["k"])
         await world.refresh()
@@ -116,12 +116,12 @@
         for number in range(1000):
             assert await world.authorize(f"wrong-{number}") == UnknownKey()
             world.clock.advance(0.01)
-        assert world.store.calls - before <= 20, "two a second"
+        assert world.store.calls - before <= 20, "more than two store calls per second"
 
     play(scenario)
 
 
-def test_wrong_keys_at_once_share_a_call():
+def test_concurrent_wrong_keys_share_one_store_call():
     async def scenario(world):
         await world.write(one=["k"])
         await world.refresh()
@@ -133,11 +133,11 @@
     play(scenario)
 
 
-def test_without_the_store_a_wrong_key_is_not_called_unknown():
+def test_a_wrong_key_is_not_rejected_while_the_store_is_unavailable():
     async def scenario(world):
         await world.write(one=["k"])
         await world.refresh()
-        world.store.away = True
+        world.store.unavailable = True
         world.clock.advance(1.0)
         verdict = await world.authorize("new")
         assert isinstance(verdict, CannotTell) and verdict.retry_after
@@ -145,8 +145,8 @@
     play(scenario)
 
 
-def test_nobody_waits_for_a_store_that_does_not_answer():
-    """A host was cut off: each request was held for a second and more, then refused."""
+def test_requests_do_not_wait_for_a_store_that_does_not_answer():
+    """At a host without a connection to the store, requests waited over a second."""
 
     async def scenario(world):
         await world.write(one=["k"])
@@ -163,7 +163,7 @@
         assert isinstance(await world.authorize(), CannotTell)
         assert asked.is_set()
         assert asyncio.get_running_loop().time() - before < 0.2
-        # Once it is known that the store does not answer, nobody is held up at all.
+        # After a failed query, requests do not wait at all.
         world.watch.note_failure("silent")
         asked.clear()
         assert isinstance(await world.authorize(), CannotTell)
@@ -172,7 +172,7 @@
     own_time.play(lambda: scenario(AuthorizationWorld()))
 
 
-def test_a_host_that_was_suspended_asks_before_it_refuses():
+def test_a_host_queries_the_store_after_a_suspension_before_it_refuses():
     async def scenario(world):
         await world.write(one=["k"])
         await world.refresh()
@@ -182,18 +182,18 @@
     play(scenario)
 
 
-def test_what_was_accepted_before_is_read_while_nothing_is_heard():
+def test_callers_are_identified_while_the_store_is_unavailable():
     async def scenario(world):
         await world.write(one=["k"])
         await world.refresh()
-        world.store.away = True
+        world.store.unavailable = True
         world.clock.advance(60)
         assert (await world.authorizer.identify("r", "k")).workspace == "one"
 
     play(scenario)
 
 
-def test_a_copy_that_another_process_read_confirms_nothing():
+def test_a_snapshot_read_by_another_process_does_not_confirm_the_configuration():
     async def scenario(world):
         await world.write(one=["k"])
 
@@ -201,7 +201,7 @@
             return Changes(list(world.store.rows.values()), 1, age=0.0)
 
         world.store.snapshot = snapshot
-        world.store.away = True
+        world.store.unavailable = True
         await world.watch.step()
         assert world.watch.version == 1
         assert not world.freshness.keys_accepted
@@ -209,8 +209,8 @@
     play(scenario)
 
 
-def test_a_whole_copy_is_confirmed_soon():
-    """A store that forgot its history again and again left all keys unconfirmed."""
+def test_a_snapshot_is_confirmed_by_a_short_poll():
+    """A store that repeatedly lost its history left all keys unconfirmed."""
 
     async def scenario(world):
         await world.write(one=["k"])
@@ -232,7 +232,7 @@
     play(scenario)
 
 
-def test_changes_that_were_lost_confirm_nothing():
+def test_lost_history_does_not_confirm_the_configuration():
     async def scenario(world):
         await world.write(one=["k"])
         await world.refresh()
@@ -249,7 +249,7 @@
     play(scenario)
 
 
-def test_a_configuration_that_cannot_be_read_makes_no_key_good():
+def test_no_key_is_accepted_while_the_configuration_is_unreadable():
     async def scenario(world):
         await world.write(one=["k"])
         await world.refresh()
@@ -262,7 +262,7 @@
     play(scenario)
 
 
-def test_where_keys_may_live_on_an_outage_costs_no_request():
+def test_without_a_bound_keys_are_accepted_during_an_outage():
     async def scenario(world):
         await world.write(one=["k"])
         await world.refresh()
@@ -273,5 +273,5 @@
 
 
 @pytest.mark.parametrize("key", ["", "\ud800", "x" * 10_000])
-def test_any_key_has_a_digest(key):
+def test_any_text_as_key_has_a_digest(key):
     assert len(key_digest(key)) == 32
--- a/tests/test_revocations.py
+++ b/tests/test_revocations.py
@@ -1,4 +1,4 @@
-"""No key runs anything once it was taken away for longer than the bound."""
+"""State machine test: a revoked key stops working within the bound."""
 
 import asyncio
 
@@ -11,14 +11,14 @@
 
 
 class Revocations(RuleBasedStateMachine):
-    """No key runs anything later than the bound after it was taken away."""
+    """No request runs by a key that was revoked longer ago than the bound."""
 
     def __init__(self):
         super().__init__()
         self.runner = asyncio.Runner()
         self.world = AuthorizationWorld()
-        self.held = []
-        self.gone_at = None
+        self.grants = []
+        self.revoked_at = None
         self.do(self.world.write(one=["k"]))
 
     def do(self, work):
@@ -38,34 +38,34 @@
     def suspend(self, seconds):
         self.world.clock.suspended += seconds
 
-    @rule(away=st.booleans(), takes=st.floats(0, 4))
-    def trouble_store(self, away, takes):
-        self.world.store.away = away
-        self.world.store.takes = takes
+    @rule(unavailable=st.booleans(), delay=st.floats(0, 4))
+    def disturb_store(self, unavailable, delay):
+        self.world.store.unavailable = unavailable
+        self.world.store.delay = delay
 
     @rule()
-    def hear(self):
+    def poll_store(self):
         self.do(self.world.watch.step())
 
     @rule()
-    def take_away(self):
-        if self.gone_at is None:
+    def revoke(self):
+        if self.revoked_at is None:
             self.do(self.world.write(one=[]))
-            self.gone_at = self.now()
+            self.revoked_at = self.now()
 
     @rule()
-    def ask(self):
+    def authorize(self):
         sent = self.now()
         verdict = self.do(self.world.authorize())
         if isinstance(verdict, Grant):
-            self.held.append(verdict)
-            late = self.gone_at is not None and sent > self.gone_at + 5
+            self.grants.append(verdict)
+            late = self.revoked_at is not None and sent > self.revoked_at + 5
             assert not late
 
     @invariant()
-    def nothing_held_is_sent_later(self):
-        if self.gone_at is not None and self.now() > self.gone_at + 5:
-            assert not any(grant.is_valid for grant in self.held)
+    def no_earlier_grant_is_valid_after_the_bound(self):
+        if self.revoked_at is not None and self.now() > self.revoked_at + 5:
+            assert not any(grant.is_valid for grant in self.grants)
 
 
 Revocations.TestCase.settings = settings(max_examples=300, stateful_step_count=30)
