--- a/gypsumshift/gossip.py
+++ b/gypsumshift/gossip.py
@@ -1,10 +1,10 @@
-"""Gossip: processes tell each other what they saw of backend servers.
+"""Gossip protocol by which processes exchange observations of backend servers.
 
-Each asks one other a second, and both then know what either did, so news of a server
-that turned slow reaches a zone of 18 processes in 2 s. Weighed: sightings in the rows
-of the store, which every process would have to follow, at a cost that grows with the
-square of the fleet; and one process of a zone that collects them, which is missed when
-it is lost.
+Each process contacts one other process a second, and both then have the observations
+of either, so that a slow server is known to a zone of 18 processes within 2 s. Two
+alternatives were rejected: rows in the store, which every process would have to watch,
+at a cost that grows with the square of the number of processes; and one collecting
+process per zone, which would be a single point of failure.
 """
 
 import json
@@ -21,29 +21,31 @@
 
 __all__ = ["OBSERVATIONS_PATH", "Gossip"]
 
-# Target by which processes exchange what they saw.
+# Request target of an exchange.
 OBSERVATIONS_PATH = "/neighbour/seen"
-# Seconds between two exchanges that a process begins, and for an answer.
-PERIOD = 1.0
-ASK_TIMEOUT = 0.3
-# Part by which the period varies, so that processes do not ask at the same moments.
+# Interval between the exchanges that a process starts, and the timeout of one.
+PERIOD_SECONDS = 1.0
+EXCHANGE_TIMEOUT_SECONDS = 0.3
+# Relative variation of the interval, so that processes do not start exchanges at the
+# same time.
 JITTER = 0.2
-# Share of the exchanges with a process of another zone, whose bytes are dear.
-FAR_SHARE = 0.1
+# Share of exchanges that may go to a process of another zone, to which traffic is
+# expensive.
+OTHER_ZONE_SHARE = 0.1
 
 log = logs.logger("gossip")
 
 
 class Gossip:
-    """Exchanges sightings with other processes.
+    """Exchanges observations with other processes.
 
     Parameters
     ----------
     balancer : LoadBalancer
-        Tells what this process saw, and takes what others saw.
+        Supplies own observations, and stores those of other processes.
     directory : Directory
     path : StorePath
-        Knows the other processes.
+        Supplies the other processes, and the client for requests to them.
     clock : Clock
     chance : random.Random
     """
@@ -63,58 +65,58 @@
         self.chance = chance
 
     async def run(self) -> None:
-        """Exchange sightings until cancelled."""
+        """Start exchanges at the interval until cancelled."""
         while True:
-            varied = self.chance.uniform(1 - JITTER, 1 + JITTER)
-            await self.clock.sleep(PERIOD * varied)
+            factor = self.chance.uniform(1 - JITTER, 1 + JITTER)
+            await self.clock.sleep(PERIOD_SECONDS * factor)
             await self.exchange()
 
     async def exchange(self) -> None:
-        """Tell another process what was seen, and hear what it saw."""
-        partner = self.partner()
-        if partner is None:
+        """Send a digest to another process, and merge the one that it returns."""
+        peer = self.choose_peer()
+        if peer is None:
             return
-        body = json.dumps(self.told()).encode()
+        body = json.dumps(self.encoded_digest()).encode()
         try:
             answer = await self.path.fetcher.fetch(
-                partner.address,
+                peer.address,
                 "POST",
                 OBSERVATIONS_PATH,
                 body=body,
-                timeout=ASK_TIMEOUT,
+                timeout=EXCHANGE_TIMEOUT_SECONDS,
             )
             if answer.status == 200:
-                self.take(answer.body)
+                self.merge_digest(answer.body)
         except (FetchError, ValueError) as error:
-            log.debug("{} tells nothing that it saw: {}", partner.name, error)
+            log.debug("Exchange of observations with {} failed: {}", peer.name, error)
 
-    def partner(self) -> Neighbour | None:
-        """Return the process to exchange with, mostly one of the own zone."""
+    def choose_peer(self) -> Neighbour | None:
+        """Return a random process to exchange with, mostly one of the own zone."""
         known = list(self.path.neighbours.values())
-        near = [n for n in known if n.zone == self.path.zone]
-        far = self.chance.random() < FAR_SHARE
-        chosen = known if far or not near else near
+        same_zone = [n for n in known if n.zone == self.path.zone]
+        any_zone = self.chance.random() < OTHER_ZONE_SHARE
+        chosen = known if any_zone or not same_zone else same_zone
         return self.chance.choice(chosen) if chosen else None
 
     async def serve(self, request: Request) -> Response:
-        """Answer a process that tells what it saw."""
+        """Merge the digest of another process, and return the own digest."""
         try:
-            self.take(request.body)
+            self.merge_digest(request.body)
         except ValueError as error:
             return json_response(400, {"error": str(error)})
-        return json_response(200, self.told())
+        return json_response(200, self.encoded_digest())
 
-    def told(self) -> list[list]:
-        """Return what to tell."""
+    def encoded_digest(self) -> list[list]:
+        """Return the current digest as JSON values."""
         self.balancer.share_own_observations(list(self.directory.servers.values()))
         return encode(
             self.balancer.shared_observations.digest(), self.clock.monotonic()
         )
 
-    def take(self, body: bytes) -> None:
-        """Take what another process told; raises ValueError."""
+    def merge_digest(self, body: bytes) -> None:
+        """Merge a received digest; raise ValueError if it is invalid."""
         try:
             rows = json.loads(body)
         except RecursionError as error:
-            raise ValueError("no list of sightings") from error
+            raise ValueError("invalid digest: nested too deeply") from error
         self.balancer.shared_observations.merge(decode(rows, self.clock.monotonic()))
--- a/gypsumshift/serving/loadbalancer.py
+++ b/gypsumshift/serving/loadbalancer.py
@@ -1,9 +1,9 @@
-"""Pool: which backend server of a service gets a request.
+"""Load balancing of requests over the backend servers of a service.
 
-The decision answers a light load over many entries: each sees too few requests to
-know a server's queue exactly, so it weighs what servers said last against its own
-open requests, prefers its own availability zone, and keeps away from those that
-failed or are slow. Chosen without a network, by an injected clock.
+The load is light and spread over many entry hosts, so that each sees too few requests
+to know the queue of a server exactly. It therefore compares the load that servers last
+reported with its own open requests, prefers its own availability zone, and avoids
+servers that failed or are slow. The module uses no network, and the clock is injected.
 """
 
 import math
@@ -20,81 +20,84 @@
 
 __all__ = ["LoadBalancer", "ServerStats"]
 
-# Share by which a server of another zone looks busier. Zones lie 3 ms apart there
-# and back, a tenth of a short service time of 30 ms; bytes between zones are dear.
+# Added to the cost of a server in another zone, in usual service times. The round trip
+# between zones takes 3 ms, a tenth of a short service time of 30 ms, and traffic
+# between zones is expensive.
 OTHER_ZONE_PENALTY = 0.3
-# Share by which a server looks busier to which no connection is open: opening one takes
-# a round trip, and holds a place there for a moment. Less than for another zone. Entry
-# hosts with a request each two seconds, spread over six servers, opened connections for
-# 126 of 180 requests, and for 35 with this, since idle ones are kept for 4 s (without
-# a network).
+# Added to the cost of a server without an idle connection: opening one takes a round
+# trip and occupies a slot there for a moment. Lower than the penalty for another zone.
+# In a simulation of entry hosts with one request every two seconds over six servers, it
+# reduced new connections from 126 to 35 of 180 requests, since idle ones are kept for
+# 4 s.
 NEW_CONNECTION_PENALTY = 0.15
-# A load that was told is halved after this many seconds: about ten service times.
-LOAD_HALF_LIFE = 0.3
-# Weight of the newest answer in the moving averages: some ten answers back.
+# A reported load counts half after this time, which is about ten service times.
+LOAD_HALF_LIFE_SECONDS = 0.3
+# Weight of the newest answer in the moving averages, which cover about ten answers.
 AVERAGE_WEIGHT = 0.2
-# A server is avoided after this many failures in a row, since a lone lost answer
-# happens to healthy ones,
+# A server is ejected after this many consecutive failures, since healthy servers lose
+# a single answer now and then,
 FAILURES_TO_EJECT = 2
-# or where it failed this share of its requests: one of a hundred is usual, a
-# broken server was seen to fail four of ten.
-SHARE_TO_EJECT = 0.35
-# Doubled from 1 s to 8 s, as long as servers were seen to be slow; half of the servers
-# must stay, to carry all.
+# or if this share of its requests failed. One of a hundred is usual; broken servers
+# have failed four of ten.
+FAILED_SHARE_TO_EJECT = 0.35
+# The ejection time doubles from 1 s to 8 s, which is how long servers have been slow.
+# At least half of the servers stay in use, to carry the load.
 EJECTION = Ejection(first=1.0, most=8.0, share=0.5)
-# A server slower than the pool by more than this counts this much busier only, so
-# that it is measured again from time to time.
-SLOWEST_FACTOR = 8.0
-# Seconds for which own sight goes before what others saw: an entry host that has a
-# request every ten seconds saw a server last before it turned slow.
+# Upper limit of the slowness factor, so that a slow server still gets a request from
+# time to time and is measured again.
+MAX_SLOWNESS_FACTOR = 8.0
+# How long own observations take precedence over those of other processes. An entry host
+# with one request every ten seconds has not yet observed a server that turned slow.
 OWN_FRESH_SECONDS = 1.0
-# A server that others saw to fail counts as slower by this, times its share: one that
-# fails four of ten is then chosen like one that takes four times as long.
-FAILED_COST = 8.0
-# Seconds for which a server is avoided at whose address nobody listens: it may be back
-# at any time, and trying it costs a caller one round trip.
-DOWN_PAUSE = 1.0
-# Seconds for which a server is avoided that was replaced; its entry lapses in four.
-GONE = 10.0
+# Slowness added for failures that other processes observed, per share of failures: a
+# server that fails four of ten requests costs as much as one that takes four times as
+# long.
+FAILED_SHARE_COST = 8.0
+# How long a server is avoided if nothing listens at its address. It may come back at
+# any time, and a failed attempt costs a caller only one round trip.
+GONE_PAUSE_SECONDS = 1.0
+# How long a server is avoided that was replaced at its address. Its directory entry
+# expires after 4 s.
+REPLACED_PAUSE_SECONDS = 10.0
 
 
 @attrs.define
 class ServerStats:
-    """What one process has seen of one backend server.
+    """Statistics that one process has collected about one backend server.
 
     Attributes
     ----------
     outstanding : int
-        Requests sent there without an answer yet.
-    busy, busy_at : float
-        Requests running and waiting there as told last, and when (seconds).
+        Requests sent to the server that are still open.
+    busy, busy_reported_at : float
+        Number of requests running and waiting there as last reported, and the time of
+        the report in seconds.
     latency : float
         Moving average of the time to an answer, in seconds; 0 before the first.
-    failures : int
-        In a row.
+    consecutive_failures : int
     failed_share : float
-        Moving average of failures, 0 to 1.
-    ejections : int
-        In a row.
-    until : float
-        Avoided before this time, in seconds.
-    seen_at : float
-        When an answer came or stayed away last, in seconds.
+        Moving average of the share of failed requests, 0 to 1.
+    consecutive_ejections : int
+    avoided_until : float
+        Time before which the server is avoided, in seconds.
+    last_outcome_at : float
+        Time at which a request last succeeded, failed or was cancelled unanswered, in
+        seconds.
     """
 
     outstanding: int = 0
     busy: float = 0.0
-    busy_at: float = 0.0
+    busy_reported_at: float = 0.0
     latency: float = 0.0
-    failures: int = 0
+    consecutive_failures: int = 0
     failed_share: float = 0.0
-    ejections: int = 0
+    consecutive_ejections: int = 0
     avoided_until: float = 0.0
-    seen_at: float = -math.inf
+    last_outcome_at: float = -math.inf
 
 
 class LoadBalancer:
-    """Chooses among backend servers, and learns from their answers.
+    """Chooses among backend servers by statistics of their answers.
 
     Parameters
     ----------
@@ -102,15 +105,15 @@
         Availability zone of this process.
     clock : Clock
     chance : random.Random
-        Breaks ties, so that many processes do not choose alike.
+        Breaks ties, so that processes do not all choose the same server.
     policy : Policy
 
     Attributes
     ----------
-    shared : Sightings
-        What other processes saw.
-    connected : callable
-        Tells whether a connection to an address lies idle; none do by default.
+    shared_observations : Observations
+        Observations of this and other processes, as exchanged between them.
+    has_idle_connection : callable
+        Returns whether there is an idle connection to an address; by default False.
     """
 
     def __init__(
@@ -131,11 +134,14 @@
         )
 
     def stats(self, server: BackendServer) -> ServerStats:
-        """Return what is known of a start of a server."""
+        """Return the statistics of a server start, created if missing."""
         return self.stats_by_start.setdefault(server.start, ServerStats())
 
     def prune(self, known: set[ServerStart]) -> None:
-        """Forget starts of servers that are not listed any more."""
+        """Remove statistics of server starts that are not listed any more.
+
+        Those with open requests are kept.
+        """
         for start in [s for s in self.stats_by_start if s not in known]:
             if not self.stats_by_start[start].outstanding:
                 del self.stats_by_start[start]
@@ -144,149 +150,166 @@
     def choose(
         self, servers: list[BackendServer], avoid: set[ServerStart]
     ) -> BackendServer | None:
-        """Return the server to send to; None where none is left.
+        """Return the server to send a request to; None if none is left.
 
         Parameters
         ----------
         servers : list of BackendServer
             Ready servers of the service.
         avoid : set of ServerStart
-            Those already tried.
+            Servers already tried.
         """
-        left = [server for server in servers if server.start not in avoid]
-        if not left:
+        candidates = [server for server in servers if server.start not in avoid]
+        if not candidates:
             return None
         now = self.clock.monotonic()
-        healthy = [s for s in left if self.stats(s).avoided_until <= now]
+        healthy = [s for s in candidates if self.stats(s).avoided_until <= now]
         if not healthy:
-            return min(left, key=lambda server: self.stats(server).avoided_until)
-        usual = self.usual_latency(servers)
+            return min(candidates, key=lambda server: self.stats(server).avoided_until)
+        usual = self.median_latency(servers)
         return min(healthy, key=lambda s: (self.cost(s, usual), self.chance.random()))
 
-    def usual_latency(self, servers: list[BackendServer]) -> float:
-        """Return the median time to an answer over the pool, in seconds."""
+    def median_latency(self, servers: list[BackendServer]) -> float:
+        """Return the median of the servers' average answer times, in seconds."""
         known = sorted(r.latency for s in servers if (r := self.stats(s)).latency)
         return known[(len(known) - 1) // 2] if known else 0.0
 
     def cost(self, server: BackendServer, usual: float) -> float:
-        """Return how long a request would take there, in usual service times."""
-        record = self.stats(server)
-        sighting = self.sighting(server, usual)
-        told = aged(sighting.busy, self.clock.monotonic() - sighting.observed_at)
-        busy = max(told, record.outstanding)
-        slowness = min(max(sighting.slowness, 1.0), SLOWEST_FACTOR)
+        """Return the expected time of a request there, in usual service times."""
+        stats = self.stats(server)
+        observed = self.observation(server, usual)
+        reported = decayed_load(
+            observed.busy, self.clock.monotonic() - observed.observed_at
+        )
+        busy = max(reported, stats.outstanding)
+        slowness = min(max(observed.slowness, 1.0), MAX_SLOWNESS_FACTOR)
         penalty = 0.0 if server.zone == self.zone else OTHER_ZONE_PENALTY
         if not self.has_idle_connection(server.address):
             penalty += NEW_CONNECTION_PENALTY
         return (1.0 + busy / max(server.slots, 1)) * slowness + penalty
 
-    def sighting(self, server: BackendServer, usual: float) -> Observation:
-        """Return what to go by: own sight while it is fresh, else the newest there is.
+    def observation(self, server: BackendServer, usual: float) -> Observation:
+        """Return the own observation while it is fresh, else the newest available.
 
-        What others saw to fail counts as slow; own failures eject.
+        Failures observed by other processes count as slowness; only own failures lead
+        to ejection.
         """
-        own = self.own_sighting(server, usual)
+        own = self.own_observation(server, usual)
         other = self.shared_observations.get(server.start)
-        fresh = self.clock.monotonic() - self.stats(server).seen_at < OWN_FRESH_SECONDS
+        fresh = (
+            self.clock.monotonic() - self.stats(server).last_outcome_at
+            < OWN_FRESH_SECONDS
+        )
         if fresh or other is None or other.observed_at <= own.observed_at:
             return own
-        slowness = max(other.slowness, 1.0) * (1.0 + FAILED_COST * other.failed)
+        slowness = max(other.slowness, 1.0) * (
+            1.0 + FAILED_SHARE_COST * other.failed_share
+        )
         return attrs.evolve(other, slowness=slowness)
 
-    def own_sighting(self, server: BackendServer, usual: float) -> Observation:
-        """Return what this process saw of a server."""
-        record = self.stats(server)
-        slowness = record.latency / usual if usual else 0.0
-        at = max(record.busy_at, record.seen_at)
-        busy = aged(record.busy, at - record.busy_at)
-        return Observation(server.start, slowness, busy, record.failed_share, at)
+    def own_observation(self, server: BackendServer, usual: float) -> Observation:
+        """Return the observation of a server from this process's statistics."""
+        stats = self.stats(server)
+        slowness = stats.latency / usual if usual else 0.0
+        observed_at = max(stats.busy_reported_at, stats.last_outcome_at)
+        busy = decayed_load(stats.busy, observed_at - stats.busy_reported_at)
+        return Observation(
+            server.start, slowness, busy, stats.failed_share, observed_at
+        )
 
     def share_own_observations(self, servers: list[BackendServer]) -> None:
-        """Put what this process saw beside what others did, to be told to others."""
+        """Merge own observations into those that are sent to other processes."""
         by_service: dict[str, list[BackendServer]] = {}
         for server in servers:
             if server.start in self.stats_by_start:
                 by_service.setdefault(server.service, []).append(server)
-        for mates in by_service.values():
-            usual = self.usual_latency(mates)
+        for listed in by_service.values():
+            usual = self.median_latency(listed)
             self.shared_observations.merge(
-                self.own_sighting(mate, usual) for mate in mates
+                self.own_observation(server, usual) for server in listed
             )
 
     def record_sent(self, server: BackendServer) -> None:
-        """Count a request that goes out."""
+        """Count a request as sent."""
         self.stats(server).outstanding += 1
 
     def record_finished(self, server: BackendServer) -> None:
-        """Count a request that ended, however."""
-        record = self.stats(server)
-        record.outstanding = max(0, record.outstanding - 1)
+        """Count a request as ended, whatever its outcome."""
+        stats = self.stats(server)
+        stats.outstanding = max(0, stats.outstanding - 1)
 
     def record_load(self, server: BackendServer, busy: float) -> None:
-        """Take the load that an answer carried."""
-        record = self.stats(server)
-        record.busy = busy
-        record.busy_at = self.clock.monotonic()
+        """Store the load that a server reported with an answer."""
+        stats = self.stats(server)
+        stats.busy = busy
+        stats.busy_reported_at = self.clock.monotonic()
 
     def record_success(self, server: BackendServer, took: float) -> None:
-        """Take a good answer that came after ``took`` seconds."""
-        record = self.stats(server)
-        record.seen_at = self.clock.monotonic()
-        record.failures = 0
-        record.ejections = 0
-        record.failed_share *= 1 - AVERAGE_WEIGHT
-        if not record.latency:
-            record.latency = took
-        record.latency += AVERAGE_WEIGHT * (took - record.latency)
+        """Record a successful answer that took ``took`` seconds."""
+        stats = self.stats(server)
+        stats.last_outcome_at = self.clock.monotonic()
+        stats.consecutive_failures = 0
+        stats.consecutive_ejections = 0
+        stats.failed_share *= 1 - AVERAGE_WEIGHT
+        if not stats.latency:
+            stats.latency = took
+        stats.latency += AVERAGE_WEIGHT * (took - stats.latency)
 
     def record_wait(self, server: BackendServer, took: float) -> None:
-        """Take an answer that has not come after ``took`` seconds."""
-        record = self.stats(server)
-        record.seen_at = self.clock.monotonic()
-        if took > record.latency:
-            record.latency += AVERAGE_WEIGHT * (took - record.latency)
+        """Record a request that was still unanswered after ``took`` seconds."""
+        stats = self.stats(server)
+        stats.last_outcome_at = self.clock.monotonic()
+        if took > stats.latency:
+            stats.latency += AVERAGE_WEIGHT * (took - stats.latency)
 
     def record_replaced(self, server: BackendServer) -> None:
-        """Take that another server stands at its address now."""
-        self.stats(server).avoided_until = self.clock.monotonic() + GONE
+        """Avoid a server whose address another server uses now."""
+        self.stats(server).avoided_until = (
+            self.clock.monotonic() + REPLACED_PAUSE_SECONDS
+        )
 
     def record_gone(self, server: BackendServer) -> None:
-        """Take that a server is gone.
+        """Reset the statistics of a server that is gone, and avoid it briefly.
 
-        No failure of its own: whatever ended it, it is sound when it is back, which
-        one that tells no start does under the same record.
+        This does not count as a failure: whatever ended the server, it is healthy when
+        it is back. A server that does not report its start time then has the same
+        statistics entry.
         """
         before = self.stats(server)
         now = self.clock.monotonic()
         self.stats_by_start[server.start] = ServerStats(
-            outstanding=before.outstanding, avoided_until=now + DOWN_PAUSE, seen_at=now
+            outstanding=before.outstanding,
+            avoided_until=now + GONE_PAUSE_SECONDS,
+            last_outcome_at=now,
         )
 
     def record_failure(
         self, server: BackendServer, servers: list[BackendServer]
     ) -> bool:
-        """Take a failure; return whether the server is avoided from now on."""
-        record = self.stats(server)
-        record.seen_at = self.clock.monotonic()
-        record.failures += 1
-        record.failed_share += AVERAGE_WEIGHT * (1 - record.failed_share)
-        in_a_row = record.failures >= FAILURES_TO_EJECT
-        often = in_a_row or record.failed_share >= SHARE_TO_EJECT
-        if not often or not self.policy.ejection:
+        """Record a failure; return whether the server is ejected by it."""
+        stats = self.stats(server)
+        stats.last_outcome_at = self.clock.monotonic()
+        stats.consecutive_failures += 1
+        stats.failed_share += AVERAGE_WEIGHT * (1 - stats.failed_share)
+        consecutive = stats.consecutive_failures >= FAILURES_TO_EJECT
+        too_many = consecutive or stats.failed_share >= FAILED_SHARE_TO_EJECT
+        if not too_many or not self.policy.ejection:
             return False
-        return self.eject(record, servers)
+        return self.eject(stats, servers)
 
-    def eject(self, record: ServerStats, servers: list[BackendServer]) -> bool:
-        """Avoid a server for a while, unless too many are avoided already."""
+    def eject(self, stats: ServerStats, servers: list[BackendServer]) -> bool:
+        """Eject a server for a while, unless too many are avoided already."""
         now = self.clock.monotonic()
-        out = sum(1 for server in servers if self.stats(server).avoided_until > now)
-        if not EJECTION.allowed(out, len(servers)):
+        avoided = sum(1 for server in servers if self.stats(server).avoided_until > now)
+        if not EJECTION.allowed(avoided, len(servers)):
             return False
-        record.avoided_until = now + EJECTION.pause(record.ejections, self.chance)
-        record.ejections += 1
+        stats.avoided_until = now + EJECTION.pause(
+            stats.consecutive_ejections, self.chance
+        )
+        stats.consecutive_ejections += 1
         return True
 
 
-def aged(busy: float, age: float) -> float:
-    """Return what a load that was told some seconds ago still counts."""
-    return busy * 0.5 ** (age / LOAD_HALF_LIFE)
+def decayed_load(busy: float, age: float) -> float:
+    """Return a reported load, reduced by its age in seconds."""
+    return busy * 0.5 ** (age / LOAD_HALF_LIFE_SECONDS)
--- a/gypsumshift/serving/observations.py
+++ b/gypsumshift/serving/observations.py
@@ -1,10 +1,10 @@
-"""Sightings: what other processes saw of backend servers, and when.
+"""Observations of backend servers that processes exchange.
 
-The decision answers many entry hosts with few requests each: one that has a request
-every ten seconds learns of a server that turned slow by its own caller's wait, though
-others met that server a moment ago. What they saw stands in for own sight that is old.
-It only moves a server back in the order of choice: it ejects nobody, fresh own sight
-goes before it, and it is forgotten within seconds.
+There are many entry hosts with few requests each. A host with one request every ten
+seconds would notice a slow server only by its own caller's wait, although other
+processes have used that server a moment before. Their observations replace own ones
+that are old. They only raise the cost of a server when one is chosen: they never eject
+a server, fresh own observations take precedence, and they expire within seconds.
 """
 
 import math
@@ -17,52 +17,55 @@
 
 __all__ = ["Observation", "Observations", "decode", "encode"]
 
-# Seconds for which what others saw counts. Servers were seen to be slow for 5 to 8 s.
+# Age after which an observation is ignored. Slow phases of servers last 5 to 8 s.
 MAX_AGE_SECONDS = 4.0
-# Servers in one digest: with its header fields some 0.7 KB, four times a second in and
-# out, whatever the size of the fleet.
+# Maximum number of servers in a digest. A digest with its header fields has about
+# 0.7 KB, and is sent or received four times a second, whatever the number of servers.
 MAX_DIGEST_SIZE = 8
-# A server that took this many times the usual time, or failed such a share of its
-# requests, is told before others: knowing of it saves a caller's wait.
+# Servers that took more than this many times the usual time, or failed more than this
+# share of their requests, come first in a digest, since avoiding them saves callers a
+# wait.
 NOTABLE_SLOWNESS = 2.0
-NOTABLE_FAILED = 0.2
-# Bounds of what is believed of another process's word.
-MOST_SLOWNESS = 100.0
-MOST_BUSY = 10_000.0
+NOTABLE_FAILED_SHARE = 0.2
+# Upper limits of values received from other processes.
+MAX_SLOWNESS = 100.0
+MAX_BUSY = 10_000.0
 
 
 @attrs.frozen
 class Observation:
-    """What a process saw of one start of a backend server.
+    """What a process observed of one start of a backend server.
 
     Attributes
     ----------
     start : ServerStart
     slowness : float
-        Its time to an answer against the usual one of its service at that process,
-        which may send other requests than this one; 0 for unknown.
+        Answer time relative to the usual one of the service at the observing process,
+        since processes may send different kinds of requests; 0 for unknown.
     busy : float
-        Requests running and waiting there.
-    failed : float
-        Share of its answers that were failures, 0 to 1.
-    at : float
-        When it was seen, by the monotonic clock here, in seconds.
+        Number of requests running and waiting at the server.
+    failed_share : float
+        Share of failed requests, 0 to 1.
+    observed_at : float
+        Time of the observation by this process's monotonic clock, in seconds.
     """
 
     start: ServerStart
     slowness: float
     busy: float
-    failed: float
+    failed_share: float
     observed_at: float
 
     @property
-    def notable(self) -> bool:
-        """Whether others should keep away from it."""
-        return self.slowness > NOTABLE_SLOWNESS or self.failed > NOTABLE_FAILED
+    def is_notable(self) -> bool:
+        """Whether other processes should avoid the server."""
+        return (
+            self.slowness > NOTABLE_SLOWNESS or self.failed_share > NOTABLE_FAILED_SHARE
+        )
 
 
 class Observations:
-    """The newest sighting of each start of a backend server.
+    """The newest observation of each start of a backend server.
 
     Parameters
     ----------
@@ -73,86 +76,92 @@
         self.clock = clock
         self.newest: dict[ServerStart, Observation] = {}
 
-    def merge(self, sightings: Iterable[Observation]) -> None:
-        """Take sightings; older ones than those known are left out."""
-        for sighting in sightings:
-            known = self.newest.get(sighting.start)
-            if known is None or known.observed_at < sighting.observed_at:
-                self.newest[sighting.start] = sighting
+    def merge(self, observations: Iterable[Observation]) -> None:
+        """Store observations, except those older than the stored ones."""
+        for observation in observations:
+            known = self.newest.get(observation.start)
+            if known is None or known.observed_at < observation.observed_at:
+                self.newest[observation.start] = observation
 
     def get(self, start: ServerStart) -> Observation | None:
-        """Return what was seen of a start of a server, while it counts."""
-        sighting = self.newest.get(start)
+        """Return the observation of a server start, unless it has expired."""
+        observation = self.newest.get(start)
         if (
-            sighting is None
-            or self.clock.monotonic() - sighting.observed_at > MAX_AGE_SECONDS
+            observation is None
+            or self.clock.monotonic() - observation.observed_at > MAX_AGE_SECONDS
         ):
             return None
-        return sighting
+        return observation
 
     def prune(self, known: set[ServerStart]) -> None:
-        """Forget starts that are not listed, and what is too old to count."""
+        """Remove starts that are not listed, and expired observations."""
         for start in list(self.newest):
             if start not in known or self.get(start) is None:
                 del self.newest[start]
 
     def digest(self) -> list[Observation]:
-        """Return what to tell others: servers to keep away from first, then the newest.
+        """Return the observations to send: notable servers first, then the newest.
 
-        Its size does not depend on the number of servers.
+        The size is limited, whatever the number of servers.
         """
-        counted = [s for s in self.newest.values() if self.get(s.start) is not None]
-        counted.sort(key=lambda s: (not s.notable, -s.observed_at))
-        return counted[:MAX_DIGEST_SIZE]
+        current = [s for s in self.newest.values() if self.get(s.start) is not None]
+        current.sort(key=lambda s: (not s.is_notable, -s.observed_at))
+        return current[:MAX_DIGEST_SIZE]
 
 
-def encode(sightings: list[Observation], now: float) -> list[list]:
-    """Return sightings as JSON holds them, with their ages in place of times."""
+def encode(observations: list[Observation], now: float) -> list[list]:
+    """Return observations as JSON values, with ages in place of times."""
     return [
         [
             s.start.id,
             s.start.born,
             round(s.slowness, 2),
             round(s.busy, 1),
-            round(s.failed, 2),
+            round(s.failed_share, 2),
             round(now - s.observed_at, 2),
         ]
-        for s in sightings
+        for s in observations
     ]
 
 
 def decode(rows: object, now: float) -> list[Observation]:
-    """Return the sightings that another process told; raises ValueError."""
+    """Return the observations that another process sent.
+
+    Raises
+    ------
+    ValueError
+        The rows are not a valid list of observations.
+    """
     if not isinstance(rows, list):
-        raise ValueError("no list of sightings")
+        raise ValueError("invalid digest: not a list of observations")
     return [decode_row(row, now) for row in rows[:MAX_DIGEST_SIZE]]
 
 
 def decode_row(row: object, now: float) -> Observation:
-    """Return one sighting; raises ValueError."""
+    """Return one observation; raise ValueError if the row is invalid."""
     if not isinstance(row, list) or len(row) != 6:
-        raise ValueError("no sighting")
-    server, born, *figures = row
+        raise ValueError("invalid observation: not a list of 6 values")
+    server, born, *numbers = row
     if not isinstance(server, str) or type(born) is not int:
-        raise ValueError("a sighting of no server")
-    slowness, busy, failed, age = map(decode_figure, figures)
+        raise ValueError("invalid observation: no server id and start time")
+    slowness, busy, failed, age = map(decode_number, numbers)
     return Observation(
         ServerStart(server, born),
-        min(max(slowness, 0.0), MOST_SLOWNESS),
-        min(max(busy, 0.0), MOST_BUSY),
+        min(max(slowness, 0.0), MAX_SLOWNESS),
+        min(max(busy, 0.0), MAX_BUSY),
         min(max(failed, 0.0), 1.0),
         now - max(age, 0.0),
     )
 
 
-def decode_figure(value: object) -> float:
-    """Return a finite figure; raises ValueError."""
+def decode_number(value: object) -> float:
+    """Return a number as float; raise ValueError unless it is finite."""
     if type(value) not in (int, float):
-        raise ValueError("a sighting without figures")
+        raise ValueError("invalid observation: a value is not a number")
     try:
-        figure = float(value)
+        number = float(value)
     except OverflowError as error:
-        raise ValueError("a figure beyond reason") from error
-    if not math.isfinite(figure):
-        raise ValueError("a figure beyond reason")
-    return figure
+        raise ValueError("invalid observation: a number is too large") from error
+    if not math.isfinite(number):
+        raise ValueError("invalid observation: a number is not finite")
+    return number
--- a/tests/test_observations.py
+++ b/tests/test_observations.py
@@ -1,4 +1,4 @@
-"""What others saw of servers goes before old own sight, and never further."""
+"""Exchange of server observations, and their effect on the choice of a server."""
 
 import json
 import random
@@ -21,76 +21,78 @@
     encode,
 )
 from tests.builders import ManualClock
-from tests.test_loadbalancer import make_pool, servers
+from tests.test_loadbalancer import make_balancer, servers
 from tests.test_neighbours import scenario
 
 SLOW, USUAL = 0.4, 0.08
 
 
-def sighting(server, clock, slowness=1.0, busy=0.0, failed=0.0, age=0.0):
+def observation(server, clock, slowness=1.0, busy=0.0, failed=0.0, age=0.0):
     return Observation(server.start, slowness, busy, failed, clock.monotonic() - age)
 
 
-def chosen(pool, listed, times=40):
-    return {pool.choose(listed, set()).id for _ in range(times)}
+def chosen(balancer, listed, times=40):
+    return {balancer.choose(listed, set()).id for _ in range(times)}
 
 
-def test_one_that_never_called_a_server_chooses_as_well_as_one_that_has():
-    seen, clock = make_pool()
+def test_a_process_without_own_observations_avoids_servers_slow_at_others():
+    informed, clock = make_balancer()
     listed, now = servers(4), clock.monotonic()
     for server in listed:
-        seen.record_success(server, SLOW if server.id in ("s0", "s1") else USUAL)
-    seen.share_own_observations(listed)
+        informed.record_success(server, SLOW if server.id in ("s0", "s1") else USUAL)
+    informed.share_own_observations(listed)
     fresh = LoadBalancer("here", clock, random.Random(2))
     fresh.shared_observations.merge(
-        decode(encode(seen.shared_observations.digest(), now), now)
+        decode(encode(informed.shared_observations.digest(), now), now)
     )
-    assert chosen(seen, listed) == chosen(fresh, listed) == {"s2", "s3"}
+    assert chosen(informed, listed) == chosen(fresh, listed) == {"s2", "s3"}
 
 
-def test_another_kind_of_request_makes_no_server_look_slow():
+def test_slower_kinds_of_requests_elsewhere_do_not_make_a_server_look_slow():
     """Reward calls take three times as long as bookings at every server."""
-    pool, clock = make_pool()
+    balancer, clock = make_balancer()
     listed = servers(2)
-    pool.record_success(listed[0], 0.025)
+    balancer.record_success(listed[0], 0.025)
     rewards = LoadBalancer("here", clock, random.Random(2))
     for server in listed:
         rewards.record_success(server, 0.08)
     rewards.share_own_observations(listed)
-    pool.shared_observations.merge(rewards.shared_observations.digest())
+    balancer.shared_observations.merge(rewards.shared_observations.digest())
     clock.advance(OWN_FRESH_SECONDS + 0.1)
-    assert chosen(pool, listed) == {"s0", "s1"}
+    assert chosen(balancer, listed) == {"s0", "s1"}
 
 
-def test_fresh_own_sight_goes_before_what_others_say():
-    pool, clock = make_pool()
+def test_fresh_own_observations_take_precedence_over_received_ones():
+    balancer, clock = make_balancer()
     listed = servers(2)
     for server in listed:
-        pool.record_success(server, USUAL)
-    pool.shared_observations.merge(
-        [sighting(listed[0], clock, 50.0, 100.0, 1.0, age=-1.0)]
+        balancer.record_success(server, USUAL)
+    balancer.shared_observations.merge(
+        [observation(listed[0], clock, 50.0, 100.0, 1.0, age=-1.0)]
     )
-    assert chosen(pool, listed) == {"s0", "s1"}
+    assert chosen(balancer, listed) == {"s0", "s1"}
     clock.advance(OWN_FRESH_SECONDS + 0.1)
-    assert chosen(pool, listed) == {"s1"}
+    assert chosen(balancer, listed) == {"s1"}
 
 
-def test_what_others_saw_is_forgotten_within_seconds():
-    pool, clock = make_pool()
+def test_received_observations_expire():
+    balancer, clock = make_balancer()
     listed = servers(2)
-    pool.shared_observations.merge([sighting(listed[0], clock, 50.0)])
-    assert chosen(pool, listed) == {"s1"}
+    balancer.shared_observations.merge([observation(listed[0], clock, 50.0)])
+    assert chosen(balancer, listed) == {"s1"}
     clock.advance(MAX_AGE_SECONDS + 0.1)
-    assert chosen(pool, listed) == {"s0", "s1"}
-    pool.prune({server.start for server in listed})
-    assert not pool.shared_observations.newest
+    assert chosen(balancer, listed) == {"s0", "s1"}
+    balancer.prune({server.start for server in listed})
+    assert not balancer.shared_observations.newest
 
 
-def test_an_older_sighting_does_not_replace_a_newer_one():
+def test_an_older_observation_does_not_replace_a_newer_one():
     clock = ManualClock()
     (server,) = servers(1)
     known = Observations(clock)
-    known.merge([sighting(server, clock, 1.0), sighting(server, clock, 9.0, age=1.0)])
+    known.merge(
+        [observation(server, clock, 1.0), observation(server, clock, 9.0, age=1.0)]
+    )
     assert known.get(server.start).slowness == 1.0
 
 
@@ -100,14 +102,14 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), figure, figure, figure, figure)))
-def test_a_lying_digest_never_empties_a_pool(lies):
-    pool, clock = make_pool()
+def test_false_digests_never_leave_a_balancer_without_a_server(false_rows):
+    balancer, clock = make_balancer()
     listed = servers(4)
-    rows = [[listed[n].id, listed[n].born, *figures] for n, *figures in lies]
-    pool.shared_observations.merge(decode(rows, clock.monotonic()))
-    assert pool.choose(listed, set()) is not None
+    rows = [[listed[n].id, listed[n].born, *figures] for n, *figures in false_rows]
+    balancer.shared_observations.merge(decode(rows, clock.monotonic()))
+    assert balancer.choose(listed, set()) is not None
     avoid = {server.start for server in listed[1:]}
-    assert pool.choose(listed, avoid) is listed[0]
+    assert balancer.choose(listed, avoid) is listed[0]
 
 
 @pytest.mark.parametrize(
@@ -125,27 +127,27 @@
         [["s0", 0, True, 1, 1, 1]],
     ],
 )
-def test_a_foreign_digest_is_refused_whole(rows):
+def test_an_invalid_digest_is_rejected_whole(rows):
     with pytest.raises(ValueError):
         decode(rows, 0.0)
 
 
-def test_a_digest_has_its_size_whatever_the_number_of_servers():
+def test_the_digest_size_is_limited_for_any_number_of_servers():
     clock = ManualClock()
     known = Observations(clock)
     listed = servers(500)
     known.merge(
-        sighting(server, clock, age=0.001 * n) for n, server in enumerate(listed)
+        observation(server, clock, age=0.001 * n) for n, server in enumerate(listed)
     )
-    known.merge([sighting(listed[400], clock, slowness=5.0, age=0.3)])
-    told = known.digest()
-    assert len(told) == MAX_DIGEST_SIZE
-    assert told[0].start.id == "s400", "a slow server is told first"
-    assert len(json.dumps(encode(told, clock.monotonic()))) < 400
+    known.merge([observation(listed[400], clock, slowness=5.0, age=0.3)])
+    digest = known.digest()
+    assert len(digest) == MAX_DIGEST_SIZE
+    assert digest[0].start.id == "s400", "a slow server comes first"
+    assert len(json.dumps(encode(digest, clock.monotonic()))) < 400
 
 
 @scenario
-async def test_two_processes_both_know_after_one_exchange(world):
+async def test_both_processes_have_all_observations_after_one_exchange(world):
     clock = ManualClock()
     listed = servers(4)
     gossips = []
@@ -153,28 +155,30 @@
         directory = Directory()
         for server in listed:
             directory.set_server(server)
-        pool = LoadBalancer("here", clock, random.Random(number))
+        balancer = LoadBalancer("here", clock, random.Random(number))
         path = world.path(("127.0.0.1", 1))
-        gossips.append(Gossip(pool, directory, path, clock, random.Random(number)))
-    asked, asking = gossips
+        gossips.append(Gossip(balancer, directory, path, clock, random.Random(number)))
+    responder, initiator = gossips
     address = await world.serve(
-        Relay(asked.path, {OBSERVATIONS_PATH: asked.serve}).serve
+        Relay(responder.path, {OBSERVATIONS_PATH: responder.serve}).serve
     )
-    asking.path.neighbours = {"a": Neighbour("a", address, "here")}
-    for server, pool in zip(listed, [asked.balancer, asking.balancer] * 2, strict=True):
-        pool.record_success(server, USUAL)
-    await asking.exchange()
+    initiator.path.neighbours = {"a": Neighbour("a", address, "here")}
+    for server, balancer in zip(
+        listed, [responder.balancer, initiator.balancer] * 2, strict=True
+    ):
+        balancer.record_success(server, USUAL)
+    await initiator.exchange()
     for gossip in gossips:
         assert len(gossip.balancer.shared_observations.newest) == 4
-    for foreign in (b"[[1]]", b"", b"[" * 100_000):
+    for invalid in (b"[[1]]", b"", b"[" * 100_000):
         answer = await world.fetcher.fetch(
-            address, "POST", OBSERVATIONS_PATH, body=foreign
+            address, "POST", OBSERVATIONS_PATH, body=invalid
         )
         assert answer.status == 400
 
 
 class Load:
-    """A zone: 15 entry hosts with a request each 12 s, 3 sidecars with many each.
+    """Simulated zone: 15 entry hosts with a request every 12 s, and 3 busy sidecars.
 
     Six servers answer in 80 ms; three of them take five times as long from 5 to 10 s.
     """
@@ -185,29 +189,31 @@
         self.clock = ManualClock()
         self.listed = servers(6)
         self.waits = []
-        pools = [LoadBalancer("here", self.clock, random.Random(n)) for n in range(18)]
-        self.entries, self.sidecars = pools[:15], pools[15:]
+        balancers = [
+            LoadBalancer("here", self.clock, random.Random(n)) for n in range(18)
+        ]
+        self.entries, self.sidecars = balancers[:15], balancers[15:]
 
-    def call(self, pool, second):
-        server = pool.choose(self.listed, set())
+    def call(self, balancer, second):
+        server = balancer.choose(self.listed, set())
         slow = 5 <= second < 10 and server.id in ("s0", "s1", "s2")
         took = SLOW if slow else USUAL
-        pool.record_success(server, took)
+        balancer.record_success(server, took)
         return took
 
     def exchange(self):
-        """Have each process exchange with one other, as each does once a second."""
-        pools = self.entries + self.sidecars
-        for pool in pools:
-            other = self.chance.choice(pools)
-            for one in (pool, other):
+        """Exchange observations from each process to one other, as once a second."""
+        balancers = self.entries + self.sidecars
+        for balancer in balancers:
+            other = self.chance.choice(balancers)
+            for one in (balancer, other):
                 one.share_own_observations(self.listed)
-            told = pool.shared_observations.digest()
-            pool.shared_observations.merge(other.shared_observations.digest())
-            other.shared_observations.merge(told)
+            digest = balancer.shared_observations.digest()
+            balancer.shared_observations.merge(other.shared_observations.digest())
+            other.shared_observations.merge(digest)
 
     def play(self):
-        """Return the callers' waits while servers were slow, but for the first 2 s."""
+        """Return the callers' waits while servers were slow, without the first 2 s."""
         start = self.clock.monotonic()
         for tick in range(10 * 20):
             second = self.clock.monotonic() - start
@@ -225,11 +231,11 @@
 
 
 def waits(share):
-    """Return what callers waited in twenty plays of the load."""
+    """Return the callers' waits in twenty runs of the simulation."""
     return [wait for seed in range(20) for wait in Load(share, seed).play()]
 
 
-def test_callers_of_a_half_slow_service_wait_less_by_what_sidecars_saw():
-    """The mean wait falls from 0.16 s to 0.08 s, which is the usual one."""
+def test_observations_of_sidecars_shorten_waits_of_entry_host_callers():
+    """The mean wait falls from 0.16 s to 0.08 s, the usual answer time."""
     assert statistics.mean(waits(share=False)) > 0.15
     assert statistics.mean(waits(share=True)) < 0.09
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -1,4 +1,4 @@
-"""What the pool learns from the answers that a sender reads."""
+"""Outcomes of attempts that a sender reports to the load balancer."""
 
 import random
 
@@ -11,7 +11,7 @@
 from tests.job_builders import HOST, METRICS, NAMES, routes
 from tests.test_loadbalancer import servers
 
-TOOK = 0.03
+DURATION = 0.03
 
 
 def make_sender(count=4):
@@ -19,8 +19,8 @@
     directory = Directory()
     for server in servers(count):
         directory.set_server(server)
-    pool = LoadBalancer("here", clock, random.Random(1))
-    return Sender(directory, pool, None, NAMES, clock, METRICS)
+    balancer = LoadBalancer("here", clock, random.Random(1))
+    return Sender(directory, balancer, None, NAMES, clock, METRICS)
 
 
 def call(name="r"):
@@ -32,45 +32,47 @@
     now = sender.clock.monotonic()
     return {
         start.id
-        for start, record in sender.balancer.stats_by_start.items()
-        if record.avoided_until > now
+        for start, stats in sender.balancer.stats_by_start.items()
+        if stats.avoided_until > now
     }
 
 
-def test_a_call_that_fails_everywhere_is_held_against_one_server_only():
-    """Where each of its four servers was blamed, the second such call ejected two."""
+def test_a_call_that_fails_everywhere_counts_as_failure_of_one_server_only():
+    """Counted at each of its four servers, the second such call ejected two."""
     sender = make_sender()
     for first in range(2):
         bad = call(f"bad{first}")
         for number in range(4):
             sender.record_outcome(
-                bad, servers()[(first + number) % 4], Answered(500), TOOK
+                bad, servers()[(first + number) % 4], Answered(500), DURATION
             )
     assert not avoided(sender)
-    failures = [sender.balancer.stats(server).failures for server in servers()]
+    failures = [
+        sender.balancer.stats(server).consecutive_failures for server in servers()
+    ]
     assert failures == [1, 1, 0, 0]
 
 
-def test_a_server_that_fails_calls_which_others_answer_is_avoided():
+def test_a_server_that_fails_two_different_calls_is_avoided():
     sender = make_sender()
     for number in range(2):
-        sender.record_outcome(call(f"r{number}"), servers()[0], Answered(500), TOOK)
+        sender.record_outcome(call(f"r{number}"), servers()[0], Answered(500), DURATION)
     assert avoided(sender) == {"s0"}
 
 
-def test_a_broken_connection_counts_whatever_the_call():
+def test_broken_connections_count_as_failures_even_for_a_call_that_failed_before():
     sender = make_sender()
     bad = call()
-    sender.record_outcome(bad, servers()[0], Answered(500), TOOK)
+    sender.record_outcome(bad, servers()[0], Answered(500), DURATION)
     for _ in range(2):
-        sender.record_outcome(bad, servers()[1], Failed("reset", True), TOOK)
+        sender.record_outcome(bad, servers()[1], Failed("reset", True), DURATION)
     assert avoided(sender) == {"s1"}
 
 
-def test_a_server_that_is_gone_is_no_suspect_once_it_is_back():
+def test_a_server_that_is_gone_is_avoided_without_counting_failures():
     sender = make_sender()
     for sent in (True, False, False, False):
         gone = Failed("nobody listens", sent, gone=True)
-        sender.record_outcome(call(), servers()[0], gone, TOOK)
+        sender.record_outcome(call(), servers()[0], gone, DURATION)
     assert avoided(sender) == {"s0"}
-    assert sender.balancer.stats(servers()[0]).failures == 0
+    assert sender.balancer.stats(servers()[0]).consecutive_failures == 0
--- a/tests/test_server_restart.py
+++ b/tests/test_server_restart.py
@@ -1,4 +1,4 @@
-"""A backend server that starts again under its id holds and knows nothing of before."""
+"""Restarts of a backend server under its id: state of the old start is dropped."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 
 def born(start, **changes):
-    """Return a start of the one server of these tests."""
+    """Return the server of these tests, started at the given time."""
     return attrs.evolve(server("e1"), born=start, **changes)
 
 
@@ -31,40 +31,45 @@
     assert not directory.servers
 
 
-def test_who_asked_is_told_of_the_old_start():
-    directory, told = Directory(), []
-    directory.on_restart.append(told.append)
+def test_restart_callbacks_receive_the_old_start():
+    directory, received = Directory(), []
+    directory.on_restart.append(received.append)
     directory.set_server(born(1))
     directory.set_server(born(1, ready=False))
     directory.set_server(born(2))
-    assert told == [born(1, ready=False)]
+    assert received == [born(1, ready=False)]
 
 
-def test_failures_load_and_pace_of_the_old_start_are_not_held_against_the_new_one():
+def test_a_new_start_does_not_inherit_failures_load_and_latency():
     clock = ManualClock()
-    pool = LoadBalancer("here", clock, random.Random(1))
+    balancer = LoadBalancer("here", clock, random.Random(1))
     for _ in range(3):
-        pool.record_failure(born(1), [born(1)])
-    pool.record_success(born(1), 5.0)
-    pool.record_load(born(1), 9)
-    assert pool.stats(born(1)).avoided_until > clock.monotonic()
-    assert pool.choose([born(2)], {born(1).start}) == born(2)
-    fresh = pool.stats(born(2))
-    assert (fresh.avoided_until, fresh.latency, fresh.busy, fresh.failures) == (
+        balancer.record_failure(born(1), [born(1)])
+    balancer.record_success(born(1), 5.0)
+    balancer.record_load(born(1), 9)
+    assert balancer.stats(born(1)).avoided_until > clock.monotonic()
+    assert balancer.choose([born(2)], {born(1).start}) == born(2)
+    fresh = balancer.stats(born(2))
+    assert (
+        fresh.avoided_until,
+        fresh.latency,
+        fresh.busy,
+        fresh.consecutive_failures,
+    ) == (
         0,
         0,
         0,
         0,
     )
-    # An answer of the old start that comes late counts for that one.
-    pool.record_failure(born(1), [born(2)])
-    assert pool.stats(born(2)).failures == 0
-    pool.prune({born(2).start})
-    assert list(pool.stats_by_start) == [born(2).start]
+    # A late answer of the old start counts for the old start.
+    balancer.record_failure(born(1), [born(2)])
+    assert balancer.stats(born(2)).consecutive_failures == 0
+    balancer.prune({born(2).start})
+    assert list(balancer.stats_by_start) == [born(2).start]
 
 
 class Reporter:
-    """Engine that gives the reports of a list."""
+    """Engine that returns the reports of a list in turn."""
 
     def __init__(self, *reports):
         self.reports = list(reports)
@@ -80,36 +85,38 @@
 def make_local_engine(*reports):
     directory = Directory()
     directory.set_server(born(1))
-    home = AgentIdentity("a", SERVICE, ADDRESS)
-    station = LocalEngine(home, directory, Reporter(*reports), ManualClock())
-    return station, directory
+    identity = AgentIdentity("a", SERVICE, ADDRESS)
+    local_engine = LocalEngine(identity, directory, Reporter(*reports), ManualClock())
+    return local_engine, directory
 
 
-def test_a_report_of_another_start_is_not_believed():
+def test_a_report_of_another_start_is_ignored():
     async def scenario():
-        station, directory = make_local_engine(report(1, 3), report(1, 3), report(2, 1))
-        assert await station.fetch_report()
-        assert station.versions == {"m": 3}
+        local_engine, directory = make_local_engine(
+            report(1, 3), report(1, 3), report(2, 1)
+        )
+        assert await local_engine.fetch_report()
+        assert local_engine.versions == {"m": 3}
         directory.set_server(born(2))
-        assert station.versions == {}
-        assert await station.fetch_report() is None
-        assert station.versions == {}
-        assert (await station.fetch_report()).versions == {"m": 1}
-        assert station.versions == {"m": 1}
+        assert local_engine.versions == {}
+        assert await local_engine.fetch_report() is None
+        assert local_engine.versions == {}
+        assert (await local_engine.fetch_report()).versions == {"m": 1}
+        assert local_engine.versions == {"m": 1}
 
     asyncio.run(scenario())
 
 
-def test_a_server_of_another_service_at_the_address_is_not_the_engine():
-    station, directory = make_local_engine()
+def test_a_server_of_another_service_at_the_address_is_not_used_as_engine():
+    local_engine, directory = make_local_engine()
     directory.forget_server("e1")
     directory.set_server(born(1, service="app"))
-    assert station.server is None
+    assert local_engine.server is None
 
 
 @pytest.mark.parametrize("cut", [False, True])
-def test_runs_at_a_start_that_is_no_more_go_on_at_once(cut):
-    """Behind a silent connection they would wait for three seconds."""
+def test_runs_at_an_ended_start_continue_at_once(cut):
+    """Runs on a connection without traffic would otherwise wait for 3 s."""
 
     async def scenario():
         world = JobCluster()
@@ -122,7 +129,7 @@
             await asyncio.sleep(0.01)
         before = len(engine.started)
         if cut:
-            # The streams end as `Fetcher.cut` ends them.
+            # The streams break as after `Fetcher.cut`.
             engine.break_at = dict.fromkeys(engine.running, 2)
         engine.length = 3
         agent.local_engine.directory.set_server(born(2, id="e-a"))
@@ -136,7 +143,7 @@
     asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
-def test_connections_to_the_old_start_are_cut_but_for_what_may_not_be_repeated():
+def test_connections_to_the_old_start_are_cut_except_for_unrepeatable_requests():
     async def scenario():
         async def silent(reader, writer):
             await reader.read()
@@ -164,13 +171,13 @@
     asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
-def test_a_mutant_that_knows_servers_by_their_ids_alone_is_caught(monkeypatch):
+def test_a_mutant_that_identifies_servers_by_id_alone_is_caught(monkeypatch):
     by_id = property(lambda server: ServerStart(server.id, 0))
     monkeypatch.setattr(BackendServer, "start", by_id)
     for caught in (
-        test_who_asked_is_told_of_the_old_start,
-        test_failures_load_and_pace_of_the_old_start_are_not_held_against_the_new_one,
-        test_a_report_of_another_start_is_not_believed,
+        test_restart_callbacks_receive_the_old_start,
+        test_a_new_start_does_not_inherit_failures_load_and_latency,
+        test_a_report_of_another_start_is_ignored,
     ):
         with pytest.raises(AssertionError):
             caught()
