--- a/gypsumshift/serving/__init__.py
+++ b/gypsumshift/serving/__init__.py
@@ -1,4 +1,4 @@
-"""Serving: routed requests of callers to the backend servers of services."""
+"""Forwarding of callers' requests, by route, to the backend servers of services."""
 
 from gypsumshift.serving.calls import Call
 from gypsumshift.serving.directory import BackendServer, Directory
--- a/gypsumshift/serving/calls.py
+++ b/gypsumshift/serving/calls.py
@@ -1,4 +1,4 @@
-"""Calls: a request to be answered, and how one attempt at it can end."""
+"""A request to be forwarded, and the possible outcomes of one attempt."""
 
 import functools
 
@@ -14,28 +14,28 @@
 
 @attrs.define
 class Call:
-    """One request to be answered.
+    """One request to be forwarded to backend servers.
 
     Attributes
     ----------
     id : str
     method, target : str
-        The target holds path and query as they came.
+        The target is the path and query as received.
     host : str
-        Host header field.
+        Value of the Host header field.
     headers : list of (str, str)
-        Names in lower case; those of one connection are left out on the way.
+        Names in lower case; hop-by-hop fields are not forwarded.
     body : bytes
     route : Route
     deadline : float
-        By the monotonic clock, in seconds.
-    suspect : bool
-        Whether a server answered it with a failure before: some requests fail at
-        every server, which says nothing about the others.
+        Monotonic time, in seconds.
+    failed_before : bool
+        Whether a server has already answered the request with a failure. Some requests
+        fail at every server, so further failures are not counted against servers.
     grant : Grant
-        Leave to run it, and for whom.
-    counted : bool
-        Whether it is counted among those that servers began to run.
+        Permission to run the request, with the workspace.
+    usage_counted : bool
+        Whether the request is already counted as one that a server began to run.
     """
 
     id: str
@@ -46,31 +46,31 @@
     body: bytes
     route: Route
     deadline: float
-    suspect: bool = False
+    failed_before: bool = False
     grant: Grant = KEYLESS_GRANT
-    counted: bool = False
+    usage_counted: bool = False
 
     @functools.cached_property
     def fingerprint(self) -> str:
-        """What is the same each time that this request comes, whatever its id."""
+        """Fingerprint of the request, which does not depend on its id."""
         who = self.grant.workspace
         return fingerprint(self.method, self.host, self.target, who, self.body)
 
     @property
     def repeatable(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may run more than once."""
         return self.route.kind in (RequestKind.SAFE, RequestKind.BATCH)
 
 
 @attrs.frozen
 class Refused:
-    """A backend server vouches that it has not run the request.
+    """A backend server stated that it has not run the request.
 
     Attributes
     ----------
     reason : str
     replaced : bool
-        Whether another server stands at its address now.
+        Whether another server now answers at its address.
     """
 
     reason: str
@@ -79,15 +79,16 @@
 
 @attrs.frozen
 class Failed:
-    """An attempt came to nothing.
+    """An attempt ended without a usable response.
 
     Attributes
     ----------
     reason : str
     sent : bool
-        Whether it may have run.
+        Whether the request may have run.
     gone : bool
-        Whether the server is: nobody listens at its address.
+        Whether the server is gone: it is not listed any more, or nothing listens at its
+        address.
     """
 
     reason: str
@@ -96,7 +97,7 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the server ended under it, and not before."""
+        """Whether the server ended while it ran the request, and not before."""
         return self.sent and self.gone
 
 
--- a/gypsumshift/serving/directory.py
+++ b/gypsumshift/serving/directory.py
@@ -1,7 +1,7 @@
-"""Directory: the configuration, backend servers and weights that are in force.
+"""In-memory directory of the configuration, backend servers and weight versions.
 
-Held in memory by each process and kept current by watching the platform. It
-never steps back: what comes late with an older version is left out.
+Each process has one, kept current by watching the platform. It never goes back to an
+older state: updates that arrive late with an older version are ignored.
 """
 
 import asyncio
@@ -14,12 +14,12 @@
 
 __all__ = ["BackendServer", "Directory", "ServerStart"]
 
-# Seconds after the store's return within which the entries of live backend servers
-# are back that it dropped while it was away; the users say about two.
-RETURN_GRACE = 2.2
-# Ids whose newest start is remembered behind the end of their entries, so that an entry
-# of an older start that comes late names nothing: some days' worth of servers.
-STARTS_KEPT = 4096
+# Time after an outage of the store within which live backend servers have restored the
+# entries that the store dropped meanwhile, which takes about two seconds.
+ENTRY_RETURN_GRACE_SECONDS = 2.2
+# Number of server ids whose newest start is remembered after their entries end, so that
+# late entries of older starts are ignored. Enough for the servers of some days.
+MAX_REMEMBERED_STARTS = 4096
 
 log = logs.logger("directory")
 
@@ -28,15 +28,15 @@
 class ServerStart:
     """Identity of one start of a backend server.
 
-    All that is believed of a server holds for one start: one that started again holds
-    and knows nothing of before.
+    All state kept about a server belongs to one start, since a server that starts again
+    has none of its earlier requests, caches or weights.
 
     Attributes
     ----------
     id : str
-        A server may start again under the id that it had.
+        A server may start again under the same id.
     born : int
-        Unix time of the start in milliseconds; 0 where the server does not tell.
+        Unix time of the start in milliseconds; 0 if the server does not report it.
     """
 
     id: str
@@ -45,21 +45,22 @@
 
 @attrs.frozen
 class BackendServer:
-    """One start of a backend server.
+    """A backend server as listed on the platform, for one of its starts.
 
     Attributes
     ----------
     id : str
     service : str
     address : (str, int)
-        IP number and port.
+        IP address and port.
     zone : str
+        Availability zone.
     slots : int
-        Requests that it runs at once.
+        Number of requests that it runs at once.
     ready : bool
-        False once it leaves: it gets no new requests.
+        False once the server is leaving and gets no new requests.
     models : dict
-        Weight version by model, as it told the platform last.
+        Weight version by model, as last reported to the platform.
     born : int
         See `ServerStart`.
     """
@@ -75,28 +76,29 @@
 
     @property
     def start(self) -> ServerStart:
-        """Identity of this start."""
+        """Identity of this start of the server."""
         return ServerStart(self.id, self.born)
 
 
 class Directory:
-    """What a process believes of the deployment.
+    """State of the deployment as one process has received it.
 
     Attributes
     ----------
     routes : RouteTable
     servers : dict
         `BackendServer` by id.
-    outdated : bool
-        Whether there is a configuration that could not be read.
-    newest : dict
+    config_unreadable : bool
+        Whether the platform holds a configuration that could not be read.
+    newest_versions : dict
         Newest weight version by model.
-    born : dict
-        Newest start that was told, by id; see `ServerStart`.
+    newest_starts : dict
+        Newest reported start time (`ServerStart.born`) by server id.
     on_restart : list of callable
         Called with the old start of a backend server that started again.
     missing : dict
-        When to forget a backend server whose entry may come back, by its id.
+        Monotonic time at which to remove a backend server whose entry may come back, by
+        server id.
     changed : asyncio.Event
         Set, and replaced by a new one, at each change.
     """
@@ -112,12 +114,12 @@
         self.changed = asyncio.Event()
 
     def notify_changed(self) -> None:
-        """Wake whoever waits for a change."""
+        """Wake the tasks that wait for a change."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     def set_routes(self, routes: RouteTable) -> None:
-        """Put a configuration in force, unless a newer one is."""
+        """Apply a configuration, unless a newer one is already in force."""
         if routes.version < self.routes.version:
             return
         self.config_unreadable = False
@@ -125,35 +127,33 @@
             return
         previous = self.routes.version
         self.routes = routes
-        logs.event(
-            log, "A configuration is in force.", version=routes.version, was=previous
-        )
+        logs.event(log, "Configuration applied.", version=routes.version, was=previous)
         self.notify_changed()
 
     def set_weight_version(self, model: str, version: int) -> None:
-        """Take a newer weight version of a model."""
+        """Store a model's newest weight version; older versions are ignored."""
         if version <= self.newest_versions.get(model, 0):
             return
         self.newest_versions[model] = version
-        logs.event(log, "New weights are named.", model=model, version=version)
+        logs.event(log, "Newer weight version announced.", model=model, version=version)
         self.notify_changed()
 
     def set_server(self, server: BackendServer) -> None:
-        """Take what a backend server says of itself, unless a newer start did."""
+        """Add or update a backend server; entries of older starts are ignored."""
         if server.born < self.newest_starts.get(server.id, 0):
-            log.debug("An entry of an older start of {} came late.", server.id)
+            log.debug("Ignored a late entry of an older start of {}.", server.id)
             return
         old = self.servers.get(server.id)
         restarted = old is not None and old.start != server.start
-        self.note_born(server)
+        self.remember_start(server)
         self.servers[server.id] = server
         self.missing.pop(server.id, None)
         if restarted:
-            self.end_start(old, server)
+            self.replace_start(old, server)
         if old is None or restarted or old.ready != server.ready:
             logs.event(
                 log,
-                "A backend server is listed.",
+                "Backend server listed.",
                 server=server.id,
                 service=server.service,
                 address=server.address,
@@ -161,64 +161,66 @@
             )
         self.notify_changed()
 
-    def note_born(self, server: BackendServer) -> None:
-        """Remember the newest start of an id."""
+    def remember_start(self, server: BackendServer) -> None:
+        """Remember the newest start of a server id, evicting the oldest records."""
         if server.born:
             self.newest_starts.pop(server.id, None)
             self.newest_starts[server.id] = server.born
-        while len(self.newest_starts) > STARTS_KEPT:
+        while len(self.newest_starts) > MAX_REMEMBERED_STARTS:
             del self.newest_starts[next(iter(self.newest_starts))]
 
-    def end_start(self, old: BackendServer, new: BackendServer) -> None:
-        """Take that a backend server started again: its old start is no more."""
+    def replace_start(self, old: BackendServer, new: BackendServer) -> None:
+        """Replace the old start of a backend server, and call the restart callbacks."""
         logs.event(
             log,
-            "A backend server started again.",
+            "Backend server started again; state of its old start is dropped.",
             server=new.id,
             born=new.born,
             was=old.born,
         )
-        # The newest entry is the last one of the table.
+        # Keep the newest entry last in the table.
         self.servers.pop(new.id)
         self.servers[new.id] = new
-        for told in self.on_restart:
-            told(old)
+        for callback in self.on_restart:
+            callback(old)
 
     def handle_removed_entry(
         self, server_id: str, store_back_at: float, now: float
     ) -> None:
-        """Take that an entry is gone.
+        """Remove the server of a removed entry, at once or after a grace period.
 
         Parameters
         ----------
         server_id : str
         store_back_at : float
-            When the store last answered again after an outage; entries that it
-            dropped meanwhile may come back.
+            Monotonic time at which the store last answered again after an outage;
+            entries that it dropped meanwhile may come back.
         now : float
-            By the same monotonic clock, in seconds.
+            Current time by the same clock, in seconds.
         """
         if server_id not in self.servers:
             return
-        if now < store_back_at + RETURN_GRACE:
-            self.missing.setdefault(server_id, store_back_at + RETURN_GRACE)
+        if now < store_back_at + ENTRY_RETURN_GRACE_SECONDS:
+            self.missing.setdefault(
+                server_id, store_back_at + ENTRY_RETURN_GRACE_SECONDS
+            )
             return
         self.forget_server(server_id)
 
     def forget_missing_servers(self, now: float) -> None:
-        """Forget the servers whose entries did not come back."""
+        """Remove the servers whose entries did not come back in time."""
         for server_id in [s for s, until in self.missing.items() if until <= now]:
             self.forget_server(server_id)
 
     def forget_server(self, server_id: str) -> None:
-        """Forget a backend server that is gone."""
+        """Remove a backend server that is gone."""
         self.missing.pop(server_id, None)
         if self.servers.pop(server_id, None) is not None:
-            logs.event(log, "A backend server is gone.", server=server_id)
+            logs.event(log, "Backend server removed.", server=server_id)
             self.notify_changed()
 
     def ready_servers(self, name: str) -> list[BackendServer]:
-        """Return the ready backend servers of a service, by id."""
+        """Return the ready backend servers of a service, sorted by id."""
         found = [s for s in self.servers.values() if s.service == name and s.ready]
         return sorted(found, key=lambda server: server.id)
 
--- a/gypsumshift/serving/forwarder.py
+++ b/gypsumshift/serving/forwarder.py
@@ -1,9 +1,9 @@
-"""Forwarder: one request to backend servers until one has answered it.
+"""Forwarding of one request to backend servers, with retries and hedging.
 
-What may be repeated is sent again after a failure, and to a second server when the
-first keeps silent; what may not be repeated is sent again only where a server
-vouches that it has not run it. What ended servers, in this call or in others, is held
-back by the `Guard`.
+A request that may be repeated is retried after a failure, and is sent to a second
+server if the first does not answer in time. A request that may not be repeated is
+retried only if a server states that it has not run it. Requests that ended servers, in
+this call or in others, are held back by the `Guard`.
 """
 
 import asyncio
@@ -24,26 +24,26 @@
 
 __all__ = ["Forwarder"]
 
-# Part of a route's objective after which a second server is asked as well. Half of
-# the objective leaves the second the time of a usual answer, which takes a quarter.
+# Share of a route's objective after which a request is also sent to a second server. A
+# usual answer takes a quarter of the objective, so half of it leaves enough time.
 HEDGE_SHARE = 0.5
-# Seconds before a second server is asked where the route names no objective.
-HEDGE_DEFAULT = 0.5
-# Seconds of pause after every server said that it is full.
-FULL_PAUSE = 0.05
-# Times that all servers may say so before the caller is told to come back.
-FULL_ROUNDS = 3
-# Seconds after which a caller may come back: a few service times.
-RETRY_AFTER = 0.25
-# Seconds kept back from the deadline, so that the verdict still reaches the caller.
-VERDICT_MARGIN = 0.02
+# Hedge delay for routes without an objective.
+DEFAULT_HEDGE_DELAY_SECONDS = 0.5
+# Pause after every server refused a request; multiplied by the number of the round.
+FULL_PAUSE_SECONDS = 0.05
+# Rounds in which all servers may refuse before the caller is asked to retry later.
+MAX_FULL_ROUNDS = 3
+# Delay after which a caller may retry: a few service times.
+RETRY_AFTER_SECONDS = 0.25
+# Part of the time before the deadline that is left for the outcome to reach the caller.
+OUTCOME_MARGIN_SECONDS = 0.02
 
 log = logs.logger("forwarder")
 
 
 @attrs.define
-class Race:
-    """The attempts of one call.
+class ForwardState:
+    """State of the attempts of one call.
 
     Attributes
     ----------
@@ -53,41 +53,41 @@
     permit : Permit
     running : dict
         Server by the task of its attempt.
-    ran : set of ServerStart
-        Servers on which it may have run.
-    refused : set of ServerStart
-        Servers that refused it in this round.
+    ran_on : set of ServerStart
+        Servers on which the call may have run.
+    refused_by : set of ServerStart
+        Servers that refused the call in this round.
     rounds : int
-        Rounds in which every server refused.
-    answer : Answered or None
-        A failure that a server answered, if nothing better comes.
+        Number of rounds in which every server refused.
+    error_answer : Answered or None
+        Error response of a server, returned if no attempt succeeds.
     """
 
     call: Call
     servers: list[BackendServer]
     permit: Permit
     running: dict[asyncio.Task, BackendServer] = attrs.field(factory=dict)
-    ran: set[ServerStart] = attrs.field(factory=set)
-    refused: set[ServerStart] = attrs.field(factory=set)
+    ran_on: set[ServerStart] = attrs.field(factory=set)
+    refused_by: set[ServerStart] = attrs.field(factory=set)
     rounds: int = 0
-    answer: Answered | None = None
+    error_answer: Answered | None = None
 
     @property
-    def involved(self) -> set[ServerStart]:
-        """Servers not to be tried now."""
-        return self.ran | self.refused | {s.start for s in self.running.values()}
+    def excluded(self) -> set[ServerStart]:
+        """Servers that must not be tried in this round."""
+        return self.ran_on | self.refused_by | {s.start for s in self.running.values()}
 
     @property
-    def spent(self) -> bool:
-        """Whether no further server may run it."""
-        begun = len(self.ran) + len(self.running)
-        # What may not be repeated stays with the first server that may have run it.
-        most = self.call.route.attempts if self.call.repeatable else 1
-        return begun >= most
+    def exhausted(self) -> bool:
+        """Whether no further server may run the call."""
+        begun = len(self.ran_on) + len(self.running)
+        # A call that may not be repeated ends at the first server that may have run it.
+        max_attempts = self.call.route.attempts if self.call.repeatable else 1
+        return begun >= max_attempts
 
 
 class Forwarder:
-    """Has calls answered by the backend servers of their services.
+    """Forwards calls to the backend servers of their services.
 
     Parameters
     ----------
@@ -104,156 +104,166 @@
         self.balancer = sender.balancer
         self.clock = sender.clock
         self.metrics = sender.metrics
-        self.trials: set[asyncio.Task] = set()
+        self.trial_tasks: set[asyncio.Task] = set()
         self.late_ends = LateEnds(
             guard, self.balancer, self.directory, sender.fetcher, self.clock
         )
 
     async def forward(self, call: Call) -> Answered | NotRun | Unknown:
-        """Return what became of a call, before its deadline."""
+        """Forward a call and return its outcome before the call's deadline."""
         permit = await self.guard.admit(call.fingerprint, call.id)
         if isinstance(permit, HeldBack):
             return permit
         if not permit.trial:
-            return await self.forward_by(permit, call)
-        # Trials are few: one whose caller leaves is made to its end.
-        trial = asyncio.create_task(self.forward_by(permit, call))
-        self.trials.add(trial)
-        trial.add_done_callback(self.trials.discard)
+            return await self.forward_permitted(permit, call)
+        # Trials are rare, so a trial runs to its end even if the caller disconnects.
+        trial = asyncio.create_task(self.forward_permitted(permit, call))
+        self.trial_tasks.add(trial)
+        trial.add_done_callback(self.trial_tasks.discard)
         return await asyncio.shield(trial)
 
-    async def forward_by(
+    async def forward_permitted(
         self, permit: Permit, call: Call
     ) -> Answered | NotRun | Unknown:
-        """Return what became of a call that the guard lets through."""
+        """Forward a call that the guard permits, and return its outcome."""
         service = call.route.service_for(call.id)
-        race = Race(call, self.directory.ready_servers(service), permit)
+        state = ForwardState(call, self.directory.ready_servers(service), permit)
         started = self.clock.monotonic()
         outcome = None
         try:
-            outcome = await self.run(race)
+            outcome = await self.run_attempts(state)
         finally:
-            ran = bool(race.ran or race.running)
-            cut = list(race.running.values())
-            await self.abandon(race)
+            ran = bool(state.ran_on or state.running)
+            cancelled = list(state.running.values())
+            await self.cancel_attempts(state)
             self.guard.close(permit, ran)
             if not isinstance(outcome, Answered):
-                self.late_ends.watch(permit, cut)
+                self.late_ends.watch(permit, cancelled)
         took = self.clock.monotonic() - started
-        ending = type(outcome).__name__
-        self.metrics.time("request_seconds", took, service=service, outcome=ending)
+        outcome_name = type(outcome).__name__
+        self.metrics.time(
+            "request_seconds", took, service=service, outcome=outcome_name
+        )
         if not isinstance(outcome, Answered):
             logs.event(
                 log,
-                "A request was not served.",
+                "Request not served by any backend server.",
                 request=call.id,
                 fingerprint=call.fingerprint,
                 route=call.route.name,
-                outcome=ending,
+                outcome=outcome_name,
                 reason=outcome.reason,
-                servers=len(race.servers),
-                ran_on=sorted(start.id for start in race.ran),
-                refused_by=sorted(start.id for start in race.refused),
+                servers=len(state.servers),
+                ran_on=sorted(start.id for start in state.ran_on),
+                refused_by=sorted(start.id for start in state.refused_by),
                 left_s=round(call.deadline - self.clock.monotonic(), 3),
             )
         return outcome
 
-    async def run(self, race: Race) -> Answered | NotRun | Unknown:
-        """Start attempts one after another until there is an outcome."""
-        hedge = self.hedge_delay(race.call)
+    async def run_attempts(self, state: ForwardState) -> Answered | NotRun | Unknown:
+        """Start attempts until one settles the call or no more may be made."""
+        hedge = self.hedge_delay(state.call)
         while True:
-            left = race.call.deadline - VERDICT_MARGIN - self.clock.monotonic()
+            left = state.call.deadline - OUTCOME_MARGIN_SECONDS - self.clock.monotonic()
             if left <= 0:
-                return self.verdict(race, "the deadline passed")
-            started = self.start(race)
-            if not race.running:
-                barred = self.barred(race)
-                if barred:
-                    return self.verdict(race, barred)
-                if not await self.next_round(race, left):
-                    return self.verdict(race, "no backend server took it")
+                return self.final_outcome(state, "the deadline passed")
+            started = self.start_attempt(state)
+            if not state.running:
+                blocked = self.blocked_reason(state)
+                if blocked:
+                    return self.final_outcome(state, blocked)
+                if not await self.next_round(state, left):
+                    return self.final_outcome(
+                        state, "no backend server accepted the request"
+                    )
                 continue
-            patience = min(left, hedge) if started else left
+            wait_seconds = min(left, hedge) if started else left
             done, _ = await asyncio.wait(
-                race.running, timeout=patience, return_when=asyncio.FIRST_COMPLETED
+                state.running, timeout=wait_seconds, return_when=asyncio.FIRST_COMPLETED
             )
             for task in done:
-                server = race.running.pop(task)
-                answer = self.judge(race, server, task.result())
+                server = state.running.pop(task)
+                answer = self.handle_outcome(state, server, task.result())
                 if answer is not None:
                     return answer
 
     def hedge_delay(self, call: Call) -> float:
-        """Return the seconds after which a second server is asked as well."""
+        """Return the seconds after which a call is also sent to a second server."""
         if not self.policy.second_server:
             return math.inf
         objective = call.route.objective
         if objective is None:
-            return HEDGE_DEFAULT
+            return DEFAULT_HEDGE_DELAY_SECONDS
         return HEDGE_SHARE * objective.total_seconds()
 
-    def barred(self, race: Race) -> str:
-        """Return why no more attempt may be made; empty where one may."""
-        if not race.call.grant.is_valid:
+    def blocked_reason(self, state: ForwardState) -> str:
+        """Return why no more attempts may be made; empty if they may."""
+        if not state.call.grant.is_valid:
             return KEY_NOT_CONFIRMED
-        allowed = self.guard.allows(race.permit, len(race.running), bool(race.ran))
+        allowed = self.guard.allows(
+            state.permit, len(state.running), bool(state.ran_on)
+        )
         return "" if allowed else REASON
 
-    def start(self, race: Race) -> bool:
-        """Start one more attempt where that is allowed; return whether it was."""
-        if race.spent or self.barred(race):
+    def start_attempt(self, state: ForwardState) -> bool:
+        """Start another attempt if allowed; return whether one was started."""
+        if state.exhausted or self.blocked_reason(state):
             return False
-        server = self.balancer.choose(race.servers, race.involved)
+        server = self.balancer.choose(state.servers, state.excluded)
         if server is None:
             return False
-        task = asyncio.create_task(self.sender.attempt(race.call, server))
-        race.running[task] = server
+        task = asyncio.create_task(self.sender.attempt(state.call, server))
+        state.running[task] = server
         return True
 
-    async def next_round(self, race: Race, left: float) -> bool:
-        """Wait until servers that were full may be asked again."""
-        if race.spent or race.rounds >= FULL_ROUNDS:
+    async def next_round(self, state: ForwardState, left: float) -> bool:
+        """Wait before the next round; return False if no further round is allowed."""
+        if state.exhausted or state.rounds >= MAX_FULL_ROUNDS:
             return False
-        race.rounds += 1
-        race.refused.clear()
-        await asyncio.sleep(min(FULL_PAUSE * race.rounds, left))
-        service = race.call.route.service_for(race.call.id)
-        race.servers = self.directory.ready_servers(service)
+        state.rounds += 1
+        state.refused_by.clear()
+        await asyncio.sleep(min(FULL_PAUSE_SECONDS * state.rounds, left))
+        service = state.call.route.service_for(state.call.id)
+        state.servers = self.directory.ready_servers(service)
         return True
 
-    def judge(self, race: Race, server, outcome: AttemptOutcome) -> Answered | None:
-        """Take the end of one attempt; return an answer that settles the call."""
+    def handle_outcome(
+        self, state: ForwardState, server, outcome: AttemptOutcome
+    ) -> Answered | None:
+        """Record an attempt's outcome; return the answer if it settles the call."""
         if isinstance(outcome, Refused):
-            race.refused.add(server.start)
+            state.refused_by.add(server.start)
             return None
         if isinstance(outcome, Failed):
             if outcome.ended:
-                self.guard.note_end(race.permit, server.start)
+                self.guard.note_end(state.permit, server.start)
             if outcome.sent:
-                race.ran.add(server.start)
+                state.ran_on.add(server.start)
             else:
-                race.refused.add(server.start)
+                state.refused_by.add(server.start)
             return None
-        race.ran.add(server.start)
-        self.guard.answered(race.permit, outcome.status)
-        if outcome.status < 500 or not race.call.repeatable:
+        state.ran_on.add(server.start)
+        self.guard.answered(state.permit, outcome.status)
+        if outcome.status < 500 or not state.call.repeatable:
             return outcome
-        race.answer = outcome
+        state.error_answer = outcome
         return None
 
-    def verdict(self, race: Race, reason: str) -> Answered | NotRun | Unknown:
-        """Return the outcome of a call that no server answered well."""
-        if race.answer is not None:
-            return race.answer
-        if race.ran or race.running:
+    def final_outcome(
+        self, state: ForwardState, reason: str
+    ) -> Answered | NotRun | Unknown:
+        """Return the outcome of a call that no server answered successfully."""
+        if state.error_answer is not None:
+            return state.error_answer
+        if state.ran_on or state.running:
             return Unknown(reason)
         if reason == REASON:
-            return self.guard.held_back(race.permit.fingerprint)
-        return NotRun(reason, datetime.timedelta(seconds=RETRY_AFTER))
+            return self.guard.held_back(state.permit.fingerprint)
+        return NotRun(reason, datetime.timedelta(seconds=RETRY_AFTER_SECONDS))
 
-    async def abandon(self, race: Race) -> None:
-        """Cut the attempts that are still under way."""
-        for task in race.running:
+    async def cancel_attempts(self, state: ForwardState) -> None:
+        """Cancel the attempts that are still running, and wait for their end."""
+        for task in state.running:
             task.cancel()
-        if race.running:
-            await asyncio.wait(race.running)
+        if state.running:
+            await asyncio.wait(state.running)
--- a/gypsumshift/serving/headers.py
+++ b/gypsumshift/serving/headers.py
@@ -1,10 +1,10 @@
-"""Header names: what the header fields between callers and servers are called."""
+"""Names of the header fields between callers and backend servers."""
 
 import attrs
 
 __all__ = ["HOP_BY_HOP", "HeaderNames"]
 
-# RFC 9110, section 7.6.1: these speak of one connection only.
+# Fields that apply to a single connection only (RFC 9110, section 7.6.1).
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -29,17 +29,17 @@
     request_id : str
         Id of one attempt of a caller; servers echo it.
     time_left : str
-        Milliseconds that the sender will wait.
+        Milliseconds that the sender will wait for the answer.
     expected_server : str
         Id of the only server that may run the request.
     last_event : str
-        Number of the last event that the sender holds of a stream.
+        Number of the last event of a stream that the sender has received.
     signature : str
-        Put on each answer by the server that made it.
+        Added to each answer by the server that made it.
     not_run : str
-        Present where a server vouches that it has not run the request.
+        Present if a server states that it has not run the request.
     load : str
-        Running requests, waiting requests and slots of the answering server.
+        Numbers of running requests, waiting requests and slots of the answering server.
     versions : str
         Weight version at the start of an answer.
     event_version : str
@@ -47,16 +47,16 @@
     length_hint : str
         Estimated number of output tokens.
     token_counts : str
-        Tokens of a prompt and the most that may be generated, with a comma between.
+        Number of tokens of a prompt and maximum number to generate, comma-separated.
     urgency : str
         Rank among the requests of a model engine, 0 for the most urgent.
     wait : str
-        Milliseconds for which the caller lets an answer wait for news.
+        Milliseconds for which an answer may wait for new results (long polling).
     key : str
-        Key of the caller's workspace. No server ever gets it.
+        Key of the caller's workspace. It is never sent to a server.
     workspace : str
-        Workspace for which a server runs a request. Whatever a caller says here is
-        left out.
+        Workspace for which a server runs a request. A value sent by a caller is
+        dropped.
     """
 
     request_id: str
@@ -77,5 +77,5 @@
 
     @property
     def identity(self) -> tuple[str, str]:
-        """Fields that tell who calls: none of a caller's goes to a server."""
+        """Fields that identify the caller; those of a caller are never forwarded."""
         return self.key, self.workspace
--- a/gypsumshift/serving/liveness.py
+++ b/gypsumshift/serving/liveness.py
@@ -1,24 +1,25 @@
-"""Liveness: whether a backend server is gone that closed a connection."""
+"""Check whether a backend server that closed a connection is gone."""
 
 from gypsumshift.fetch import Fetcher
 from gypsumshift.serving.directory import BackendServer, Directory
 
 __all__ = ["is_gone"]
 
-# Seconds to find out: a round trip, which callers wait for before another server is
-# asked.
-GONE_TIMEOUT = 0.1
+# One round trip inside a region fits. Callers wait for this check before the request is
+# sent to another server.
+CONNECT_CHECK_TIMEOUT_SECONDS = 0.1
 
 
 async def is_gone(
     directory: Directory, fetcher: Fetcher, server: BackendServer
 ) -> bool:
-    """Tell whether a start of a server is not listed, or nobody listens there.
+    """Return whether a server start is not listed, or refuses connections.
 
-    One that is listed and keeps silent may be cut off, and is not taken for gone.
+    A listed server that does not answer may only be cut off from this host, so it does
+    not count as gone.
     """
     listed = directory.servers.get(server.id)
     if listed is None or listed.start != server.start:
-        # A new start may listen at the address by now.
+        # A new start of the server may already listen at the address.
         return True
-    return await fetcher.refuses(server.address, GONE_TIMEOUT)
+    return await fetcher.refuses(server.address, CONNECT_CHECK_TIMEOUT_SECONDS)
--- a/gypsumshift/serving/responses.py
+++ b/gypsumshift/serving/responses.py
@@ -1,4 +1,4 @@
-"""Answers: what the head of a backend server's answer says."""
+"""Interpretation of the status and header fields of backend server responses."""
 
 from gypsumshift.fetch import Exchange
 from gypsumshift.serving.calls import Refused
@@ -6,16 +6,16 @@
 
 __all__ = ["mismatched_request_id", "end_to_end_headers", "parse_refusal"]
 
-# HTTP status of a server that is not the one expected at its address.
+# HTTP status of a server other than the one expected at the address.
 MISDIRECTED = 421
-# Those with which a server may vouch that it has not run a request.
+# Statuses with which a server may state that it has not run a request.
 NOT_RUN_STATUSES = (429, 503, 400)
 
 
 def parse_refusal(exchange: Exchange, names: HeaderNames) -> Refused | None:
-    """Return the refusal that an answer is; None where the request may have run."""
+    """Return the refusal that a response states; None if the request may have run."""
     if exchange.status == MISDIRECTED:
-        return Refused("another server is there", True)
+        return Refused("another server answers at the address", True)
     vouched = exchange.header(names.not_run.encode())
     if exchange.status in NOT_RUN_STATUSES and vouched:
         return Refused(f"status {exchange.status}")
@@ -25,16 +25,16 @@
 def mismatched_request_id(
     exchange: Exchange, names: HeaderNames, request_id: str
 ) -> str:
-    """Return the id of the request that an answer belongs to; ``""`` for ours.
+    """Return the request id of a response to another request; ``""`` if it matches.
 
-    A faulty server may send the answer to another request.
+    A faulty server may send the response to another request.
     """
     echoed = exchange.header(names.request_id.encode())
     return "" if echoed == request_id else echoed
 
 
 def end_to_end_headers(exchange: Exchange) -> tuple[tuple[str, str], ...]:
-    """Return the header fields that a caller gets, without those of a connection."""
+    """Return the header fields for the caller, without the hop-by-hop ones."""
     return tuple(
         (key.decode(), value.decode("latin-1"))
         for key, value in exchange.headers
--- a/gypsumshift/serving/routes.py
+++ b/gypsumshift/serving/routes.py
@@ -1,4 +1,4 @@
-"""Routes: which service a request goes to, by its host and path."""
+"""Route table: the service of a request by its host and path."""
 
 import datetime
 import enum
@@ -10,11 +10,11 @@
 
 __all__ = ["EngineLimits", "RequestKind", "Route", "RouteTable", "Service", "Target"]
 
-SHARE_BITS = 2**32
+HASH_RANGE = 2**32
 
 
 class RequestKind(enum.Enum):
-    """What may be repeated of the requests of a route."""
+    """Kind of the requests of a route, which decides whether they may be repeated."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -30,7 +30,7 @@
     ----------
     service : str
     weight : float
-        Its share of the requests, relative to the other targets.
+        Share of the requests, relative to the weights of the other targets.
     """
 
     service: str
@@ -44,21 +44,21 @@
     Attributes
     ----------
     name, host, prefix : str
-        A prefix begins and ends with a slash.
+        The path prefix begins and ends with a slash.
     kind : RequestKind
     targets : tuple of Target
     attempts : int
-        Backend servers that one request may run on at the most.
+        Maximum number of backend servers on which one request may run.
     timeout : timedelta or None
-        Longest time that a caller is kept waiting.
+        Longest time that a caller waits for an answer.
     objective : timedelta or None
-        Time within which an answer is on time.
+        Latency objective: answers within this time are on time.
     resumable : bool
-        Whether a stream may go on at another backend server.
+        Whether a stream may continue at another backend server.
     one_version : bool
         Whether all events of a sample must come from one weight version.
     retention : timedelta or None
-        Time behind which an item of a batch job may be given up.
+        Time after which an item of a batch job may be given up.
     public : bool
         Whether callers need no key.
     """
@@ -77,11 +77,11 @@
     public: bool = False
 
     def service_for(self, request_id: str) -> str:
-        """Return the service that takes a request; the same one on a retry."""
+        """Return the service for a request id; the same one on each retry."""
         if len(self.targets) == 1:
             return self.targets[0].service
         total = sum(target.weight for target in self.targets)
-        point = zlib.crc32(request_id.encode()) / SHARE_BITS * total
+        point = zlib.crc32(request_id.encode()) / HASH_RANGE * total
         for target in self.targets:
             point -= target.weight
             if point < 0:
@@ -91,16 +91,16 @@
 
 @attrs.frozen
 class EngineLimits:
-    """What a model engine of a service can hold.
+    """Capacity of a model engine of a service.
 
     Attributes
     ----------
     slots : int
-        Requests that run at once.
+        Number of requests that run at once.
     models : tuple of str
         Models that it serves.
     memory : int
-        Tokens that its requests and what it caches may take; 0 for unknown.
+        Number of tokens that its requests and caches may hold; 0 for unknown.
     """
 
     slots: int
@@ -116,7 +116,7 @@
     ----------
     name : str
     engine : EngineLimits or None
-        None for a plain service.
+        None for a service without a model engine.
     """
 
     name: str
@@ -124,19 +124,18 @@
 
 
 class RouteTable:
-    """One version of the configuration; immutable.
+    """Routes and services of one version of the configuration; immutable.
 
-    A look-up costs as many steps as the path has slashes, however many routes
-    there are.
+    A look-up takes one step per slash of the path, regardless of the number of routes.
 
     Parameters
     ----------
     version : int
-        Grows with each configuration; 0 before the first.
+        Increases with each configuration; 0 before the first.
     routes : iterable of Route
     services : iterable of Service
     body_limit : int
-        Bytes of a request's body.
+        Maximum size of a request's body in bytes.
     workspaces : Workspaces
     """
 
@@ -152,13 +151,13 @@
         self.version = version
         self.body_limit = body_limit
         self.services = {service.name: service for service in services}
-        self.hosts: dict[str, dict[str, Route]] = {}
+        self.routes_by_host: dict[str, dict[str, Route]] = {}
         for route in routes:
-            self.hosts.setdefault(route.host, {})[route.prefix] = route
+            self.routes_by_host.setdefault(route.host, {})[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of the longest prefix that begins the path."""
-        routes = self.hosts.get(host.lower().partition(":")[0])
+        """Return the route with the longest prefix that matches the path."""
+        routes = self.routes_by_host.get(host.lower().partition(":")[0])
         if not routes:
             return None
         end = path.rfind("/")
--- a/gypsumshift/serving/sender.py
+++ b/gypsumshift/serving/sender.py
@@ -1,4 +1,4 @@
-"""Sender: one attempt at a call, at one backend server."""
+"""Sending of a call to one backend server, as one attempt."""
 
 import asyncio
 import contextlib
@@ -24,17 +24,17 @@
 
 __all__ = ["Sender"]
 
-# Seconds to open a connection inside a region, where a round trip takes 3 ms. A host
-# whose link is full answers within this time too; a silent server costs no more than
-# the delay after which a second one is asked.
-CONNECT_TIMEOUT = 0.3
+# Timeout to open a connection inside a region, where a round trip takes 3 ms. It is
+# long enough for a host whose link is saturated, and a server that does not answer
+# costs no more than the hedge delay.
+CONNECT_TIMEOUT_SECONDS = 0.3
 
 
 log = logs.logger("sender")
 
 
 class Sender:
-    """Sends calls to backend servers, and has the pool learn from the answers.
+    """Sends calls to backend servers, and reports the outcomes to the load balancer.
 
     Parameters
     ----------
@@ -45,7 +45,7 @@
     clock : Clock
     metrics : Metrics
     usage : UsageCounter or None
-        Told of the requests that servers began to run.
+        Counts the requests that servers began to run.
     """
 
     def __init__(self, directory, balancer, fetcher, names, clock, metrics, usage=None):
@@ -58,7 +58,7 @@
         self.usage: UsageCounter | None = usage
 
     async def attempt(self, call: Call, server: BackendServer) -> AttemptOutcome:
-        """Send a call to one server and read its answer."""
+        """Send a call to one server and return the outcome of the attempt."""
         self.balancer.record_sent(server)
         started = self.clock.monotonic()
         sent_at = self.clock.now().timestamp()
@@ -76,36 +76,36 @@
         return outcome
 
     def count_run(self, call: Call, at: float) -> None:
-        """Count a request that a server began to run, however often it is sent.
+        """Count a request that a server began to run, once however often it is sent.
 
         Parameters
         ----------
         call : Call
         at : float
-            True time when it was sent, in seconds. Servers of callers begin at once but
-            where they are full.
+            Wall-clock time when it was sent, in seconds. It stands for the start of the
+            run, since servers begin a request at once unless they are full.
         """
-        if self.usage is None or call.counted or not call.grant.workspace:
+        if self.usage is None or call.usage_counted or not call.grant.workspace:
             return
-        call.counted = True
+        call.usage_counted = True
         self.usage.note(call.grant.workspace, at)
 
     def record_outcome(
         self, call, server, outcome: AttemptOutcome, took: float
     ) -> None:
-        """Note how a server fared."""
-        ending = type(outcome).__name__
-        self.metrics.count("attempts", service=server.service, outcome=ending)
-        good = isinstance(outcome, Answered) and outcome.status < 500
-        if good:
+        """Record the outcome of an attempt in metrics, load balancer and log."""
+        outcome_name = type(outcome).__name__
+        self.metrics.count("attempts", service=server.service, outcome=outcome_name)
+        succeeded = isinstance(outcome, Answered) and outcome.status < 500
+        if succeeded:
             self.balancer.record_success(server, took)
         elif isinstance(outcome, Refused) and outcome.replaced:
             self.balancer.record_replaced(server)
-        elif isinstance(outcome, Answered) and call.suspect:
+        elif isinstance(outcome, Answered) and call.failed_before:
             return
         elif not isinstance(outcome, Refused):
             gone = isinstance(outcome, Failed) and outcome.gone
-            call.suspect = call.suspect or isinstance(outcome, Answered)
+            call.failed_before = call.failed_before or isinstance(outcome, Answered)
             servers = self.directory.ready_servers(server.service)
             if gone:
                 self.balancer.record_gone(server)
@@ -113,7 +113,7 @@
             reason = getattr(outcome, "reason", "") or f"status {outcome.status}"
             logs.event(
                 log,
-                "An attempt failed.",
+                "Attempt at a backend server failed.",
                 request=call.id,
                 fingerprint=call.fingerprint,
                 server=server.id,
@@ -124,7 +124,7 @@
             )
 
     async def exchange(self, call: Call, server: BackendServer) -> AttemptOutcome:
-        """Exchange request and answer; a stale idle connection is replaced once."""
+        """Exchange request and answer; retry once if a reused connection broke."""
         fresh = not call.repeatable
         try:
             return await self.exchange_once(call, server, fresh)
@@ -137,40 +137,40 @@
         try:
             return await self.exchange_once(call, server, True)
         except FetchError as error:
-            # The first connection may have carried it, so nothing is vouched for.
+            # The first connection may have delivered it, so it counts as sent.
             return Failed(str(error), True, await self.is_gone(error, server))
 
     async def is_gone(
         self, error: FetchError | StreamBroken, server: BackendServer
     ) -> bool:
-        """Tell whether a server is gone that refused or closed a connection."""
+        """Return whether a server that refused or closed a connection is gone."""
         if error.refused or not error.closed:
             return error.refused
         return await is_gone(self.directory, self.fetcher, server)
 
     async def exchange_once(self, call, server, fresh: bool) -> AttemptOutcome:
-        """Exchange on one connection.
+        """Exchange request and answer on one connection.
 
         Raises
         ------
         FetchError
-            The connection broke, or what came is no answer to this request.
+            The connection broke, or the answer belongs to another request.
         """
         exchange = await self.open(
             call, server, self.request_headers(call, server), fresh
         )
         with contextlib.closing(exchange):
-            foreign = mismatched_request_id(exchange, self.names, call.id)
-            if foreign:
-                raise FetchError(f"an answer to the request {foreign}", True)
-            self.note_load(server, exchange)
+            other_id = mismatched_request_id(exchange, self.names, call.id)
+            if other_id:
+                raise FetchError(f"answer belongs to request {other_id}", True)
+            self.record_load(server, exchange)
             body = await exchange.read()
             return self.classify(exchange, body)
 
     async def open(
         self, call: Call, server: BackendServer, fields: list, fresh: bool
     ) -> Exchange:
-        """Send a call with these header fields, and read the head of its answer."""
+        """Send a call with the given header fields; return once the head arrived."""
         return await self.fetcher.open(
             server.address,
             call.method,
@@ -179,44 +179,44 @@
             call.body,
             fresh=fresh,
             host=call.host,
-            connect_timeout=CONNECT_TIMEOUT,
+            connect_timeout=CONNECT_TIMEOUT_SECONDS,
             allowed=lambda: call.grant.is_valid,
         )
 
     def request_headers(
         self, call: Call, server: BackendServer
     ) -> list[tuple[str, str]]:
-        """Return the header fields for one server."""
+        """Return the header fields of a call for one server."""
         names = self.names
-        own = (names.time_left, names.expected_server, *names.identity)
+        replaced = (names.time_left, names.expected_server, *names.identity)
         left = call.deadline - self.clock.monotonic()
-        passed = [
+        forwarded = [
             (key, value)
             for key, value in call.headers
-            if key not in HOP_BY_HOP and key not in own
+            if key not in HOP_BY_HOP and key not in replaced
         ]
         if call.grant.workspace:
-            passed.append((names.workspace, call.grant.workspace))
+            forwarded.append((names.workspace, call.grant.workspace))
         return [
-            *passed,
+            *forwarded,
             (names.time_left, str(max(1, int(left * 1000)))),
             (names.expected_server, server.id),
         ]
 
-    def note_load(self, server: BackendServer, exchange: Exchange) -> None:
-        """Take the load that an answer tells."""
-        words = exchange.header(self.names.load.encode()).split(",")
-        if len(words) == 3 and words[0].isdigit() and words[1].isdigit():
-            self.balancer.record_load(server, int(words[0]) + int(words[1]))
+    def record_load(self, server: BackendServer, exchange: Exchange) -> None:
+        """Report the load that an answer carries to the load balancer."""
+        values = exchange.header(self.names.load.encode()).split(",")
+        if len(values) == 3 and values[0].isdigit() and values[1].isdigit():
+            self.balancer.record_load(server, int(values[0]) + int(values[1]))
 
     def classify(self, exchange: Exchange, body: bytes) -> AttemptOutcome:
-        """Return what a whole answer means."""
+        """Return the outcome that a complete answer stands for."""
         refused = parse_refusal(exchange, self.names)
         if refused is not None:
             return refused
         signed = exchange.header(self.names.signature.encode())
         if not signed and exchange.status < 300:
-            return Failed("an answer without a signature", True)
+            return Failed("answer has no signature", True)
         if exchange.header(b"content-encoding"):
-            return Failed("an encoded answer", True)
+            return Failed("answer has a content encoding", True)
         return Answered(exchange.status, end_to_end_headers(exchange), body)
--- a/gypsumshift/serving/streams.py
+++ b/gypsumshift/serving/streams.py
@@ -1,9 +1,9 @@
-"""Streams: one streamed answer from backend servers to a caller.
+"""Relaying of streamed answers from backend servers to a caller.
 
-A stream that may be resumed goes on at another server when its own breaks off; the
-caller sees one answer with the header fields of the first server. Any other stream
-is passed on as it comes, runs once, and is cut where its server cut it. What ends
-servers is held back by the `Guard`, as other requests are.
+A resumable stream continues at another server if its server breaks off; the caller
+receives one answer with the header fields of the first server. Any other stream is
+relayed unmodified, runs once, and ends where its server broke off. Streams that end
+servers are held back by the `Guard`, as other requests are.
 """
 
 import asyncio
@@ -21,22 +21,22 @@
 from gypsumshift.serving.authorization import KEY_NOT_CONFIRMED
 from gypsumshift.serving.calls import Call
 from gypsumshift.serving.directory import BackendServer, ServerStart
-from gypsumshift.serving.forwarder import RETRY_AFTER, Forwarder
+from gypsumshift.serving.forwarder import RETRY_AFTER_SECONDS, Forwarder
 from gypsumshift.serving.guard import REASON, Permit
 from gypsumshift.serving.responses import end_to_end_headers, parse_refusal
 
 __all__ = ["Stream", "StreamRelay"]
 
-# Seconds without an event after which a resumable stream is taken up elsewhere:
-# callers give up after two.
-SILENCE_TIMEOUT = 1.2
+# Time without an event after which a resumable stream continues at another server.
+# Callers give up after 2 s.
+SILENCE_TIMEOUT_SECONDS = 1.2
 
 log = logs.logger("streams")
 
 
 @attrs.frozen
 class Stream:
-    """A streamed answer that has begun.
+    """A streamed answer whose head has arrived.
 
     Attributes
     ----------
@@ -51,8 +51,8 @@
 
 
 @attrs.define
-class Relayed:
-    """A stream on its way.
+class RelayState:
+    """State of a stream that is being relayed.
 
     Attributes
     ----------
@@ -61,15 +61,15 @@
     tried : set of ServerStart
         Servers not to be tried again.
     runs : int
-        Servers at which it may have run.
+        Number of servers at which the stream may have run.
     server : BackendServer or None
-        At which it runs now.
+        Server at which the stream runs now.
     status : int
-        HTTP status of the answer that the caller got.
-    last : str
-        Number of the last event that the caller got; empty before the first.
+        HTTP status of the answer that was sent to the caller.
+    last_event : str
+        Number of the last event that was sent to the caller; empty before the first.
     from_start : bool
-        Whether the server at which it runs began with the first event.
+        Whether the current server began with the first event.
     """
 
     call: Call
@@ -78,12 +78,12 @@
     runs: int = 0
     server: BackendServer | None = None
     status: int = 200
-    last: str = ""
+    last_event: str = ""
     from_start: bool = True
 
     @property
-    def spent(self) -> bool:
-        """Whether no further server may run it."""
+    def exhausted(self) -> bool:
+        """Whether no further server may run the stream."""
         route = self.call.route
         return self.runs >= (route.attempts if route.resumable else 1)
 
@@ -101,72 +101,76 @@
         self.balancer = forwarder.balancer
         self.guard = forwarder.guard
         self.late_ends = forwarder.late_ends
-        self.trials: set[asyncio.Task] = set()
+        self.trial_tasks: set[asyncio.Task] = set()
 
     async def start(self, call: Call) -> Stream | NotRun | Unknown:
-        """Open a stream at the first server that takes it."""
+        """Open a stream at the first server that accepts it."""
         permit = await self.guard.admit(call.fingerprint, call.id)
         if isinstance(permit, HeldBack):
             return permit
         if not permit.trial:
-            return await self.begin(call, permit)
-        # Trials are few: one whose caller leaves is made to its end.
-        return await asyncio.shield(self.keep(self.begin(call, permit)))
+            return await self.start_permitted(call, permit)
+        # Trials are rare, so a trial runs to its end even if the caller disconnects.
+        return await asyncio.shield(
+            self.start_trial_task(self.start_permitted(call, permit))
+        )
 
-    def keep(self, work: Coroutine) -> asyncio.Task:
-        """Run a part of a trial to its end, whoever waits for it."""
+    def start_trial_task(self, work: Coroutine) -> asyncio.Task:
+        """Run a part of a trial in a task that is not cancelled with the caller."""
         task = asyncio.create_task(work)
-        self.trials.add(task)
-        task.add_done_callback(self.trials.discard)
+        self.trial_tasks.add(task)
+        task.add_done_callback(self.trial_tasks.discard)
         return task
 
-    async def begin(self, call: Call, permit: Permit) -> Stream | NotRun | Unknown:
-        """Open a stream that the guard lets through."""
-        relayed = Relayed(call, permit)
+    async def start_permitted(
+        self, call: Call, permit: Permit
+    ) -> Stream | NotRun | Unknown:
+        """Open a stream that the guard permits."""
+        state = RelayState(call, permit)
         opened = None
         try:
-            opened = await self.open(relayed)
+            opened = await self.open(state)
         finally:
             if not isinstance(opened, tuple):
-                self.close(relayed)
+                self.finish(state)
         if not isinstance(opened, tuple):
             return opened
         exchange, server = opened
         headers = list(end_to_end_headers(exchange))
         resumable = call.route.resumable and exchange.status == 200
-        relay = self.resume if resumable else self.pass_on
-        relayed.status = exchange.status
-        body = self.settle(relayed, relay(relayed, exchange, server))
+        relay = self.relay_resumable if resumable else self.relay_unmodified
+        state.status = exchange.status
+        body = self.report_end(state, relay(state, exchange, server))
         if permit.trial:
-            body = self.read_apart(body, call.deadline)
+            body = self.read_detached(body, call.deadline)
         return Stream(exchange.status, headers, body)
 
-    def close(self, relayed: Relayed) -> None:
-        """Take the end of a stream, and look after the server at which it was cut."""
-        ran = relayed.runs > 0 or relayed.server is not None
-        self.guard.close(relayed.permit, ran)
-        if relayed.server is not None:
-            self.late_ends.watch(relayed.permit, [relayed.server])
+    def finish(self, state: RelayState) -> None:
+        """Close a stream's permit, and watch the server if the stream was cut off."""
+        ran = state.runs > 0 or state.server is not None
+        self.guard.close(state.permit, ran)
+        if state.server is not None:
+            self.late_ends.watch(state.permit, [state.server])
 
-    async def settle(self, relayed: Relayed, body: AsyncIterator[bytes]):
-        """Yield a body, and have the guard learn how it ended."""
+    async def report_end(self, state: RelayState, body: AsyncIterator[bytes]):
+        """Yield a body, and report its end to the guard."""
         try:
             async with contextlib.aclosing(body):
                 async for data in body:
                     yield data
-            relayed.server = None
-            self.guard.answered(relayed.permit, relayed.status, relayed.from_start)
+            state.server = None
+            self.guard.answered(state.permit, state.status, state.from_start)
         finally:
-            self.close(relayed)
+            self.finish(state)
 
-    def read_apart(self, body, deadline: float) -> AsyncIterator[bytes]:
-        """Return a body that is read to its end, also where its caller leaves."""
+    def read_detached(self, body, deadline: float) -> AsyncIterator[bytes]:
+        """Return a body that is read to its end even if the caller disconnects."""
         parts: asyncio.Queue[bytes | Abandon | None] = asyncio.Queue()
-        self.keep(self.read_all(body, parts, deadline))
-        return self.parts(parts)
+        self.start_trial_task(self.read_all(body, parts, deadline))
+        return self.read_queue(parts)
 
     async def read_all(self, body, parts: asyncio.Queue, deadline: float) -> None:
-        """Read a body to its end, or to its deadline, into a queue."""
+        """Read a body into a queue until its end or its deadline."""
         left = max(0.0, deadline - self.sender.clock.monotonic())
         end = Abandon("an error inside this process; see its log")
         try:
@@ -181,84 +185,85 @@
         finally:
             parts.put_nowait(end)
 
-    async def parts(self, parts: asyncio.Queue):
-        """Yield what is read apart; cut where that was."""
+    async def read_queue(self, parts: asyncio.Queue):
+        """Yield the queued parts of a body; raise `Abandon` if it was cut off."""
         while (data := await parts.get()) is not None:
             if isinstance(data, Abandon):
                 raise data
             yield data
 
     async def open(
-        self, relayed: Relayed, after: str | None = None
+        self, state: RelayState, after: str | None = None
     ) -> tuple[Exchange, BackendServer] | NotRun | Unknown:
         """Open a stream at a server that was not tried yet.
 
         Parameters
         ----------
-        relayed : Relayed
+        state : RelayState
         after : str or None
-            Number of the event behind which a stream goes on; empty for the first one,
-            None where it begins.
+            Number of the event after which a stream is resumed; empty to resume from
+            the first event, None for a new stream.
         """
-        call = relayed.call
+        call = state.call
         while True:
             service = call.route.service_for(call.id)
             servers = self.sender.directory.ready_servers(service)
-            server = self.choose(relayed, servers)
+            server = self.choose(state, servers)
             left = call.deadline - self.sender.clock.monotonic()
             if server is None or left <= 0:
-                return self.not_opened(relayed)
-            relayed.tried.add(server.start)
-            relayed.server = server
+                return self.not_opened_outcome(state)
+            state.tried.add(server.start)
+            state.server = server
             sent_at = self.sender.clock.now().timestamp()
             try:
                 async with asyncio.timeout(left):
                     exchange = await self.open_at(call, server, after)
             except Withheld:
-                relayed.server = None
+                state.server = None
                 continue
             except (FetchError, TimeoutError) as error:
                 if getattr(error, "sent", True):
                     self.sender.count_run(call, sent_at)
-                await self.note_failure(relayed, server, error)
+                await self.handle_open_failure(state, server, error)
                 continue
             if parse_refusal(exchange, self.sender.names) is None:
                 self.sender.count_run(call, sent_at)
-                relayed.runs += 1
+                state.runs += 1
                 return exchange, server
-            relayed.server = None
+            state.server = None
             exchange.close()
 
-    def choose(self, relayed: Relayed, servers: list) -> BackendServer | None:
-        """Return the server to try next; None where none is left or allowed."""
-        if relayed.spent or self.barred(relayed):
+    def choose(self, state: RelayState, servers: list) -> BackendServer | None:
+        """Return the server to try next; None if none is left or allowed."""
+        if state.exhausted or self.blocked_reason(state):
             return None
-        return self.balancer.choose(servers, relayed.tried)
+        return self.balancer.choose(servers, state.tried)
 
-    def barred(self, relayed: Relayed) -> str:
-        """Return why it may not go to another server; empty where it may."""
-        if not relayed.call.grant.is_valid:
+    def blocked_reason(self, state: RelayState) -> str:
+        """Return why no further server may be tried; empty if one may."""
+        if not state.call.grant.is_valid:
             return KEY_NOT_CONFIRMED
-        allowed = self.guard.allows(relayed.permit, 0, relayed.runs > 0)
+        allowed = self.guard.allows(state.permit, 0, state.runs > 0)
         return "" if allowed else REASON
 
-    def not_opened(self, relayed: Relayed) -> NotRun | Unknown:
-        """Return why a stream is not opened at another server."""
-        barred = self.barred(relayed)
-        reason = barred or "no backend server took the stream"
-        if relayed.runs:
+    def not_opened_outcome(self, state: RelayState) -> NotRun | Unknown:
+        """Return the outcome of a stream that is not opened at another server."""
+        blocked = self.blocked_reason(state)
+        reason = blocked or "no backend server accepted the stream"
+        if state.runs:
             return Unknown(reason)
-        if barred == REASON:
-            return self.guard.held_back(relayed.permit.fingerprint)
-        return NotRun(reason, datetime.timedelta(seconds=RETRY_AFTER))
+        if blocked == REASON:
+            return self.guard.held_back(state.permit.fingerprint)
+        return NotRun(reason, datetime.timedelta(seconds=RETRY_AFTER_SECONDS))
 
     async def open_at(
         self, call: Call, server: BackendServer, after: str | None
     ) -> Exchange:
         """Open a stream at one server; see `open`.
 
-        The caller of a stream that goes on has its head: a failure that a server
-        answers would be taken for the stream's end.
+        When a stream is resumed, the caller already has its head. A server's error
+        response is therefore raised as `FetchError`, since relaying its body would look
+        like the end of the stream.
         """
         names = self.sender.names
         fields = self.sender.request_headers(call, server)
@@ -266,83 +271,90 @@
             fields = [field for field in fields if field[0] != names.last_event]
             fields.append((names.last_event, after))
         exchange = await self.sender.open(call, server, fields, fresh=True)
-        goes_on = exchange.status == 200 or parse_refusal(exchange, names) is not None
-        if after is not None and not goes_on:
+        accepted = exchange.status == 200 or parse_refusal(exchange, names) is not None
+        if after is not None and not accepted:
             exchange.close()
             raise FetchError(f"status {exchange.status}", True)
         return exchange
 
-    async def note_failure(
-        self, relayed: Relayed, server: BackendServer, error: FetchError | TimeoutError
+    async def handle_open_failure(
+        self,
+        state: RelayState,
+        server: BackendServer,
+        error: FetchError | TimeoutError,
     ) -> None:
-        """Take that a stream could not be opened at a server."""
-        broke = isinstance(error, FetchError)
-        sent = not broke or error.sent
-        relayed.runs += sent
-        if not broke:
-            self.late_ends.watch(relayed.permit, [server])
-        gone = broke and await self.sender.is_gone(error, server)
+        """Record that a stream could not be opened at a server."""
+        connection_failed = isinstance(error, FetchError)
+        sent = not connection_failed or error.sent
+        state.runs += sent
+        if not connection_failed:
+            self.late_ends.watch(state.permit, [server])
+        gone = connection_failed and await self.sender.is_gone(error, server)
         if not gone:
             self.balancer.record_failure(
                 server, self.sender.directory.ready_servers(server.service)
             )
-        self.note_broken(relayed, server, str(error) or "no answer in time", sent, gone)
+        self.handle_broken_stream(
+            state, server, str(error) or "no answer in time", sent, gone
+        )
 
-    def note_broken(
-        self, relayed: Relayed, server: BackendServer, reason: str, sent: bool, gone
+    def handle_broken_stream(
+        self, state: RelayState, server: BackendServer, reason: str, sent: bool, gone
     ) -> None:
-        """Take that a stream broke, and that its server ended where it is gone."""
-        relayed.server = None
+        """Record that a stream broke, and whether its server ended while running it."""
+        state.server = None
         if gone:
             self.balancer.record_gone(server)
         if gone and sent:
-            self.guard.note_end(relayed.permit, server.start)
+            self.guard.note_end(state.permit, server.start)
         logs.event(
             log,
-            "A stream broke.",
-            request=relayed.call.id,
-            fingerprint=relayed.call.fingerprint,
+            "Stream to a backend server broke.",
+            request=state.call.id,
+            fingerprint=state.call.fingerprint,
             server=server.id,
-            after=relayed.last,
+            after=state.last_event,
             reason=reason,
             ended=gone and sent,
         )
 
-    async def pass_on(self, relayed: Relayed, exchange: Exchange, server):
-        """Yield the bytes of one server as they come."""
+    async def relay_unmodified(self, state: RelayState, exchange: Exchange, server):
+        """Yield the bytes of one server's answer as they arrive."""
         with contextlib.closing(exchange):
             try:
                 async for data in exchange.chunks():
                     yield data
             except FetchError as error:
                 gone = await self.sender.is_gone(error, server)
-                self.note_broken(relayed, server, str(error), True, gone)
+                self.handle_broken_stream(state, server, str(error), True, gone)
                 raise Abandon(str(error)) from error
 
-    async def resume(self, relayed: Relayed, exchange: Exchange, server):
-        """Yield whole events; goes on elsewhere where a server breaks off."""
-        call = relayed.call
-        relayed.last = call_header(call, self.sender.names.last_event)
-        relayed.from_start = not relayed.last
+    async def relay_resumable(self, state: RelayState, exchange: Exchange, server):
+        """Yield complete events, continuing at another server after a break."""
+        call = state.call
+        state.last_event = call_header(call, self.sender.names.last_event)
+        state.from_start = not state.last_event
         while True:
             try:
                 with contextlib.closing(exchange):
-                    async for block in blocks(exchange, SILENCE_TIMEOUT):
+                    async for block in blocks(exchange, SILENCE_TIMEOUT_SECONDS):
                         yield block + b"\n\n"
-                        relayed.last = field_of(block, "id") or relayed.last
+                        state.last_event = field_of(block, "id") or state.last_event
                 return
             except StreamBroken as error:
                 reason = str(error)
                 gone = await self.sender.is_gone(error, server)
-            self.note_broken(relayed, server, reason, True, gone)
-            relayed.from_start = not relayed.last
-            opened = await self.open(relayed, relayed.last)
+            self.handle_broken_stream(state, server, reason, True, gone)
+            state.from_start = not state.last_event
+            opened = await self.open(state, state.last_event)
             if not isinstance(opened, tuple):
-                told = f"{reason}; {opened.reason}"
-                raise Abandon(f"cannot be resumed behind event {relayed.last}: {told}")
+                details = f"{reason}; {opened.reason}"
+                raise Abandon(
+                    f"cannot be resumed after event {state.last_event}: {details}"
+                )
             exchange, server = opened
 
 
 def call_header(call: Call, name: str) -> str:
-    """Return a header field of a call."""
+    """Return the value of a header field of a call; empty if missing."""
     return next((value for key, value in call.headers if key == name), "")
--- a/tests/test_broken_connections.py
+++ b/tests/test_broken_connections.py
@@ -1,4 +1,4 @@
-"""What a broken connection says of its server: that it is gone, or that it is not."""
+"""Detection, after a broken connection, of whether the backend server is gone."""
 
 import asyncio
 import random
@@ -20,7 +20,7 @@
 
 @attrs.define
 class Peer:
-    """A server that does as a body tells it."""
+    """A server whose behaviour is selected by the request body."""
 
     listener: asyncio.Server = None
     runs: list = attrs.field(factory=list)
@@ -58,11 +58,11 @@
 def play(scenario):
     async def run():
         clock, directory, fetcher = SystemClock(), Directory(), Fetcher()
-        pool = LoadBalancer("here", clock, random.Random(1))
+        balancer = LoadBalancer("here", clock, random.Random(1))
         peer = Peer()
         server = BackendServer("s", "app", await peer.listen(), "here")
         directory.set_server(server)
-        sender = Sender(directory, pool, fetcher, NAMES, clock, METRICS)
+        sender = Sender(directory, balancer, fetcher, NAMES, clock, METRICS)
         try:
             await scenario(sender, server, peer)
         finally:
@@ -72,7 +72,7 @@
     asyncio.run(asyncio.wait_for(run(), 20))
 
 
-def test_a_server_that_is_gone_behind_a_broken_connection_has_ended():
+def test_a_server_that_ends_during_a_request_counts_as_gone():
     async def scenario(sender, server, peer):
         outcome = await attempt(sender, server, b"end")
         assert outcome == Failed(outcome.reason, sent=True, gone=True)
@@ -80,7 +80,7 @@
     play(scenario)
 
 
-def test_it_has_ended_also_where_the_connection_had_lain_idle():
+def test_a_server_that_ends_on_a_reused_connection_counts_as_gone():
     async def scenario(sender, server, peer):
         await attempt(sender, server, b"well")
         outcome = await attempt(sender, server, b"end")
@@ -90,7 +90,7 @@
     play(scenario)
 
 
-def test_a_server_that_breaks_off_or_spoils_an_answer_and_is_there_has_not():
+def test_a_server_that_breaks_off_but_still_listens_does_not_count_as_gone():
     async def scenario(sender, server, peer):
         for body in (b"break", b"spoil"):
             outcome = await attempt(sender, server, body)
@@ -99,7 +99,7 @@
     play(scenario)
 
 
-def test_the_connection_that_found_it_there_serves_the_next_request():
+def test_the_connection_of_the_check_is_reused_for_the_next_request():
     async def scenario(sender, server, peer):
         await attempt(sender, server, b"break")
         assert sender.fetcher.connected(server.address)
@@ -108,7 +108,7 @@
     play(scenario)
 
 
-def test_a_server_that_cannot_be_reached_has_not_ended_under_the_request():
+def test_a_refused_connection_is_gone_but_not_ended_by_the_request():
     async def scenario(sender, server, peer):
         peer.listener.close()
         outcome = await attempt(sender, server, b"well")
@@ -118,8 +118,8 @@
     play(scenario)
 
 
-def test_a_server_whose_entry_is_gone_has_ended_though_its_address_is_taken():
-    """A host that was frozen meets the new start at the old one's address."""
+def test_an_unlisted_server_counts_as_gone_although_its_address_answers():
+    """A host that was suspended finds a new start at the old one's address."""
 
     async def scenario(sender, server, peer):
         sender.directory.forget_server(server.id)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Look-up of routes, and shares of services."""
+"""Route look-up by host and path, and selection of a target by weight."""
 
 from gypsumshift.serving import RequestKind, Route, RouteTable, Target
 
@@ -15,14 +15,14 @@
     assert table.find("h.example", "/other").prefix == "/"
 
 
-def test_a_prefix_ends_at_a_slash():
+def test_a_prefix_matches_whole_path_segments_only():
     table = RouteTable(1, [route("/a/")])
     assert table.find("h.example", "/ab") is None
     assert table.find("h.example", "/a") is None
     assert table.find("other.example", "/a/") is None
 
 
-def test_shares_follow_the_weights_and_stay_with_a_request():
+def test_targets_are_chosen_by_weight_and_fixed_for_a_request_id():
     own = route("/", Target("few", 10), Target("many", 90))
     chosen = [own.service_for(f"request-{n}") for n in range(2000)]
     assert 120 < chosen.count("few") < 280
