--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Whole answers, true refusals, and at most once, over real connections."""
+"""Complete answers, reliable outcomes and at-most-once runs over real connections."""
 
 import asyncio
 
@@ -13,14 +13,14 @@
 
 
 def once(client, method, path, **options):
-    """Call through one entry once, without the client's own retries."""
+    """Call once through one entry host, without the client's own retries."""
     fields = [("request-id", options.pop("id", "x"))]
     if "key" in options:
         fields.append(("idempotency-key", options.pop("key")))
     return client.once(method, path, fields, b"{}", 8.0)
 
 
-def test_an_answer_cut_in_its_middle_is_never_an_answer():
+def test_an_answer_that_is_cut_off_has_an_unknown_outcome():
     async def work(sys):
         sys.services[0].faults.cut = 1
         async with sys.client() as client:
@@ -31,7 +31,7 @@
     system.run(work, engines=0)
 
 
-def test_a_repeatable_request_is_tried_elsewhere_after_a_cut():
+def test_a_repeatable_request_is_retried_at_another_server_after_a_cut():
     async def work(sys):
         for service in sys.services:
             service.faults.cut = 1
@@ -43,7 +43,7 @@
     system.run(work, engines=0, services=2)
 
 
-def test_a_backend_server_that_refuses_connections_is_not_run():
+def test_a_request_is_not_run_if_the_backend_server_refuses_connections():
     async def work(sys):
         await sys.services[0].server.stop(0)
         async with sys.client() as client:
@@ -56,8 +56,10 @@
 
 @pytest.mark.parametrize("dies", [False, True])
 @pytest.mark.parametrize("direction", ["cut_up", "cut_down"])
-def test_cut_at_every_byte_between_accept_and_answer(direction, dies, monkeypatch):
-    """Cut the link after each number of bytes; no outcome may ever be untrue."""
+def test_outcomes_are_true_with_the_link_cut_after_any_byte(
+    direction, dies, monkeypatch
+):
+    """The link is cut after each number of bytes up to 420, in either direction."""
     monkeypatch.setattr("gypsumshift.dispatch.BAR_PAUSE", 0.001)
 
     async def work(sys):
@@ -85,15 +87,15 @@
         expected = {(True, "cut_up"): {Answered, Unknown}}
         expected[True, "cut_down"] = {Answered, Unknown}
         expected[False, "cut_up"] = {Answered, NotRun}
-        # With the link back, a lost answer is fetched from the sidecar's memory,
-        # and one that still runs is waited for.
+        # Once the link is back, a lost answer is fetched from the sidecar's memory, and
+        # the entry waits for a request that still runs.
         expected[False, "cut_down"] = {Answered}
         assert seen == expected[dies, direction]
 
     system.run(work, engines=0)
 
 
-def test_a_late_answer_is_dropped_and_the_next_is_the_right_one():
+def test_a_late_answer_is_dropped_and_not_returned_to_later_requests():
     async def work(sys):
         service = sys.services[0]
         async with sys.client() as client:
@@ -110,7 +112,7 @@
     system.run(work, engines=0)
 
 
-def test_crossed_requests_each_get_their_own_answer():
+def test_concurrent_requests_each_get_their_own_answer():
     async def work(sys):
         sys.services[0].spread = 1.0
         async with sys.client("w") as one, sys.client("v") as two:
@@ -125,7 +127,7 @@
     system.run(work, engines=0, services=2)
 
 
-def test_a_caller_that_is_gone_frees_its_place():
+def test_a_disconnected_caller_frees_its_slot():
     async def work(sys):
         engine = sys.engines[0]
         engine.speed.step = 0.01
@@ -140,7 +142,7 @@
     system.run(work, services=0)
 
 
-def test_a_broken_stream_reaches_the_caller_as_broken():
+def test_a_broken_stream_has_an_unknown_outcome_at_the_caller():
     async def work(sys):
         sys.engines[0].faults.break_streams = 1
         async with sys.client() as client:
@@ -151,7 +153,7 @@
     system.run(work, services=0)
 
 
-def test_an_entry_killed_after_the_send_leaves_a_key_that_settles():
+def test_a_keyed_request_is_replayed_after_its_entry_stopped():
     async def work(sys):
         service = sys.services[0]
         service.faults.slow = 100.0
@@ -170,7 +172,7 @@
     system.run(work, engines=0, entries=2)
 
 
-def test_a_sidecar_replaced_between_attempt_and_question_is_unknown():
+def test_a_keyed_request_stays_unknown_if_its_sidecar_was_replaced():
     async def work(sys):
         service = sys.services[0]
         service.faults.slow = 1000.0
@@ -187,7 +189,7 @@
     system.run(work, engines=0)
 
 
-def test_a_request_that_runs_on_behind_a_cut_link_is_waited_for():
+def test_the_answer_of_a_request_still_running_after_a_cut_is_awaited():
     async def work(sys):
         sidecar, entry = sys.sidecars["shop-0"], sys.entries[0]
         sys.services[0].faults.slow = 300.0
@@ -201,7 +203,7 @@
     system.run(work, engines=0)
 
 
-def test_keys_wait_for_the_platform_but_customers_do_not():
+def test_only_keyed_requests_need_the_platform():
     async def work(sys):
         sys.tables.down = True
         async with sys.client() as client:
@@ -220,7 +222,7 @@
     system.run(work)
 
 
-def test_one_workspaces_flood_leaves_the_other_answered():
+def test_a_flood_from_one_workspace_does_not_starve_another():
     async def work(sys):
         sys.services[0].faults.slow = 20.0
         async with sys.client("w") as flood, sys.client("v") as quiet:
