--- a/tests/authorization_world.py
+++ b/tests/authorization_builders.py
@@ -1,4 +1,4 @@
-"""Fixture of one host, a store, and an operator who adds and revokes keys."""
+"""Builders for authorization tests: one host, its store and its operator."""
 
 import datetime
 
@@ -47,7 +47,7 @@
         return self.seconds + self.suspended
 
 
-class AuthorizationWorld:
+class AuthorizationHost:
     """One host, its store, and an operator who adds and revokes keys."""
 
     def __init__(self, bound=BOUND):
--- a/tests/test_broken_connections.py
+++ b/tests/test_broken_connections.py
@@ -55,7 +55,7 @@
     return await sender.attempt(call, server)
 
 
-def play(scenario):
+def run_scenario(scenario):
     async def run():
         clock, directory, fetcher = SystemClock(), Directory(), Fetcher()
         balancer = LoadBalancer("here", clock, random.Random(1))
@@ -77,7 +77,7 @@
         outcome = await attempt(sender, server, b"end")
         assert outcome == Failed(outcome.reason, sent=True, gone=True)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_server_that_ends_on_a_reused_connection_counts_as_gone():
@@ -87,7 +87,7 @@
         assert outcome == Failed(outcome.reason, sent=True, gone=True)
         assert peer.runs == [b"well", b"end"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_server_that_breaks_off_but_still_listens_does_not_count_as_gone():
@@ -96,7 +96,7 @@
             outcome = await attempt(sender, server, body)
             assert outcome == Failed(outcome.reason, sent=True, gone=False)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_the_connection_of_the_check_is_reused_for_the_next_request():
@@ -105,7 +105,7 @@
         assert sender.fetcher.connected(server.address)
         assert (await attempt(sender, server, b"well")).status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_refused_connection_is_gone_but_not_ended_by_the_request():
@@ -115,7 +115,7 @@
         assert outcome == Failed(outcome.reason, sent=False, gone=True)
         assert not outcome.ended
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_unlisted_server_counts_as_gone_although_its_address_answers():
@@ -126,4 +126,4 @@
         outcome = await attempt(sender, server, b"break")
         assert outcome == Failed(outcome.reason, sent=True, gone=True)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_observations.py
+++ b/tests/test_observations.py
@@ -212,7 +212,7 @@
             balancer.shared_observations.merge(other.shared_observations.digest())
             other.shared_observations.merge(digest)
 
-    def play(self):
+    def run(self):
         """Return the callers' waits while servers were slow, without the first 2 s."""
         start = self.clock.monotonic()
         for tick in range(10 * 20):
@@ -232,7 +232,7 @@
 
 def waits(share):
     """Return the callers' waits in twenty runs of the simulation."""
-    return [wait for seed in range(20) for wait in Load(share, seed).play()]
+    return [wait for seed in range(20) for wait in Load(share, seed).run()]
 
 
 def test_observations_of_sidecars_shorten_waits_of_entry_host_callers():
--- a/tests/test_revocations.py
+++ b/tests/test_revocations.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from gypsumshift.serving.authorization import Grant
-from tests.authorization_world import AuthorizationWorld
+from tests.authorization_builders import AuthorizationHost
 
 
 class Revocations(RuleBasedStateMachine):
@@ -16,10 +16,10 @@
     def __init__(self):
         super().__init__()
         self.runner = asyncio.Runner()
-        self.world = AuthorizationWorld()
+        self.host = AuthorizationHost()
         self.grants = []
         self.revoked_at = None
-        self.do(self.world.write(one=["k"]))
+        self.do(self.host.write(one=["k"]))
 
     def do(self, work):
         return self.runner.run(work)
@@ -28,35 +28,35 @@
         self.runner.close()
 
     def now(self):
-        return self.world.clock.elapsed()
+        return self.host.clock.elapsed()
 
     @rule(seconds=st.floats(0, 3))
     def wait(self, seconds):
-        self.world.clock.advance(seconds)
+        self.host.clock.advance(seconds)
 
     @rule(seconds=st.floats(0, 8))
     def suspend(self, seconds):
-        self.world.clock.suspended += seconds
+        self.host.clock.suspended += seconds
 
     @rule(unavailable=st.booleans(), delay=st.floats(0, 4))
     def disturb_store(self, unavailable, delay):
-        self.world.store.unavailable = unavailable
-        self.world.store.delay = delay
+        self.host.store.unavailable = unavailable
+        self.host.store.delay = delay
 
     @rule()
     def poll_store(self):
-        self.do(self.world.watch.step())
+        self.do(self.host.watch.step())
 
     @rule()
     def revoke(self):
         if self.revoked_at is None:
-            self.do(self.world.write(one=[]))
+            self.do(self.host.write(one=[]))
             self.revoked_at = self.now()
 
     @rule()
     def authorize(self):
         sent = self.now()
-        verdict = self.do(self.world.authorize())
+        verdict = self.do(self.host.authorize())
         if isinstance(verdict, Grant):
             self.grants.append(verdict)
             late = self.revoked_at is not None and sent > self.revoked_at + 5
