--- a/gypsumshift/policy.py
+++ b/gypsumshift/policy.py
@@ -47,7 +47,7 @@
         A second server is asked where the first keeps silent
         (`serving/forwarder.py`).
     ejection : bool
-        Servers that fail are avoided for a while (`serving/pool.py`).
+        Servers that fail are avoided for a while (`serving/loadbalancer.py`).
     shared_sight : bool
         Processes tell each other what they saw of servers (`gossip.py`).
     shared_rereads : bool
