--- a/gypsumshift/serving/forwarder.py
+++ b/gypsumshift/serving/forwarder.py
@@ -3,7 +3,7 @@
 A request that may be repeated is retried after a failure, and is sent to a second
 server if the first does not answer in time. A request that may not be repeated is
 retried only if a server states that it has not run it. Requests that ended servers, in
-this call or in others, are held back by the `Guard`.
+this call or in others, are held back by the `CrashGuard`.
 """
 
 import asyncio
@@ -17,9 +17,9 @@
 from gypsumshift.policy import DEFAULT, Policy
 from gypsumshift.serving.authorization import KEY_NOT_CONFIRMED
 from gypsumshift.serving.calls import AttemptOutcome, Call, Failed, Refused
+from gypsumshift.serving.crashguard import HELD_BACK_REASON, CrashGuard, Permit
 from gypsumshift.serving.directory import BackendServer, ServerStart
-from gypsumshift.serving.guard import REASON, Guard, Permit
-from gypsumshift.serving.lateends import LateEnds
+from gypsumshift.serving.latecrashes import LateCrashDetector
 from gypsumshift.serving.sender import Sender
 
 __all__ = ["Forwarder"]
@@ -92,11 +92,11 @@
     Parameters
     ----------
     sender : Sender
-    guard : Guard
+    guard : CrashGuard
     policy : Policy
     """
 
-    def __init__(self, sender: Sender, guard: Guard, policy: Policy = DEFAULT):
+    def __init__(self, sender: Sender, guard: CrashGuard, policy: Policy = DEFAULT):
         self.policy = policy
         self.sender = sender
         self.guard = guard
@@ -105,7 +105,7 @@
         self.clock = sender.clock
         self.metrics = sender.metrics
         self.trial_tasks: set[asyncio.Task] = set()
-        self.late_ends = LateEnds(
+        self.late_crashes = LateCrashDetector(
             guard, self.balancer, self.directory, sender.fetcher, self.clock
         )
 
@@ -136,9 +136,9 @@
             ran = bool(state.ran_on or state.running)
             cancelled = list(state.running.values())
             await self.cancel_attempts(state)
-            self.guard.close(permit, ran)
+            self.guard.release_permit(permit, ran)
             if not isinstance(outcome, Answered):
-                self.late_ends.watch(permit, cancelled)
+                self.late_crashes.check_servers(permit, cancelled)
         took = self.clock.monotonic() - started
         outcome_name = type(outcome).__name__
         self.metrics.time(
@@ -200,10 +200,10 @@
         """Return why no more attempts may be made; empty if they may."""
         if not state.call.grant.is_valid:
             return KEY_NOT_CONFIRMED
-        allowed = self.guard.allows(
+        allowed = self.guard.may_send(
             state.permit, len(state.running), bool(state.ran_on)
         )
-        return "" if allowed else REASON
+        return "" if allowed else HELD_BACK_REASON
 
     def start_attempt(self, state: ForwardState) -> bool:
         """Start another attempt if allowed; return whether one was started."""
@@ -236,14 +236,14 @@
             return None
         if isinstance(outcome, Failed):
             if outcome.ended:
-                self.guard.note_end(state.permit, server.start)
+                self.guard.record_crash(state.permit, server.start)
             if outcome.sent:
                 state.ran_on.add(server.start)
             else:
                 state.refused_by.add(server.start)
             return None
         state.ran_on.add(server.start)
-        self.guard.answered(state.permit, outcome.status)
+        self.guard.record_answer(state.permit, outcome.status)
         if outcome.status < 500 or not state.call.repeatable:
             return outcome
         state.error_answer = outcome
@@ -257,8 +257,8 @@
             return state.error_answer
         if state.ran_on or state.running:
             return Unknown(reason)
-        if reason == REASON:
-            return self.guard.held_back(state.permit.fingerprint)
+        if reason == HELD_BACK_REASON:
+            return self.guard.held_back_outcome(state.permit.fingerprint)
         return NotRun(reason, datetime.timedelta(seconds=RETRY_AFTER_SECONDS))
 
     async def cancel_attempts(self, state: ForwardState) -> None:
--- a/gypsumshift/serving/streams.py
+++ b/gypsumshift/serving/streams.py
@@ -3,7 +3,7 @@
 A resumable stream continues at another server if its server breaks off; the caller
 receives one answer with the header fields of the first server. Any other stream is
 relayed unmodified, runs once, and ends where its server broke off. Streams that end
-servers are held back by the `Guard`, as other requests are.
+servers are held back by the `CrashGuard`, as other requests are.
 """
 
 import asyncio
@@ -20,9 +20,9 @@
 from gypsumshift.server import Abandon
 from gypsumshift.serving.authorization import KEY_NOT_CONFIRMED
 from gypsumshift.serving.calls import Call
+from gypsumshift.serving.crashguard import HELD_BACK_REASON, Permit
 from gypsumshift.serving.directory import BackendServer, ServerStart
 from gypsumshift.serving.forwarder import RETRY_AFTER_SECONDS, Forwarder
-from gypsumshift.serving.guard import REASON, Permit
 from gypsumshift.serving.responses import end_to_end_headers, parse_refusal
 
 __all__ = ["Stream", "StreamRelay"]
@@ -100,7 +100,7 @@
         self.sender = forwarder.sender
         self.balancer = forwarder.balancer
         self.guard = forwarder.guard
-        self.late_ends = forwarder.late_ends
+        self.late_crashes = forwarder.late_crashes
         self.trial_tasks: set[asyncio.Task] = set()
 
     async def start(self, call: Call) -> Stream | NotRun | Unknown:
@@ -148,9 +148,9 @@
     def finish(self, state: RelayState) -> None:
         """Close a stream's permit, and watch the server if the stream was cut off."""
         ran = state.runs > 0 or state.server is not None
-        self.guard.close(state.permit, ran)
+        self.guard.release_permit(state.permit, ran)
         if state.server is not None:
-            self.late_ends.watch(state.permit, [state.server])
+            self.late_crashes.check_servers(state.permit, [state.server])
 
     async def report_end(self, state: RelayState, body: AsyncIterator[bytes]):
         """Yield a body, and report its end to the guard."""
@@ -159,7 +159,7 @@
                 async for data in body:
                     yield data
             state.server = None
-            self.guard.answered(state.permit, state.status, state.from_start)
+            self.guard.record_answer(state.permit, state.status, state.from_start)
         finally:
             self.finish(state)
 
@@ -243,8 +243,8 @@
         """Return why no further server may be tried; empty if one may."""
         if not state.call.grant.is_valid:
             return KEY_NOT_CONFIRMED
-        allowed = self.guard.allows(state.permit, 0, state.runs > 0)
-        return "" if allowed else REASON
+        allowed = self.guard.may_send(state.permit, 0, state.runs > 0)
+        return "" if allowed else HELD_BACK_REASON
 
     def not_opened_outcome(self, state: RelayState) -> NotRun | Unknown:
         """Return the outcome of a stream that is not opened at another server."""
@@ -252,8 +252,8 @@
         reason = blocked or "no backend server accepted the stream"
         if state.runs:
             return Unknown(reason)
-        if blocked == REASON:
-            return self.guard.held_back(state.permit.fingerprint)
+        if blocked == HELD_BACK_REASON:
+            return self.guard.held_back_outcome(state.permit.fingerprint)
         return NotRun(reason, datetime.timedelta(seconds=RETRY_AFTER_SECONDS))
 
     async def open_at(
@@ -288,7 +288,7 @@
         sent = not connection_failed or error.sent
         state.runs += sent
         if not connection_failed:
-            self.late_ends.watch(state.permit, [server])
+            self.late_crashes.check_servers(state.permit, [server])
         gone = connection_failed and await self.sender.is_gone(error, server)
         if not gone:
             self.balancer.record_failure(
@@ -306,7 +306,7 @@
         if gone:
             self.balancer.record_gone(server)
         if gone and sent:
-            self.guard.note_end(state.permit, server.start)
+            self.guard.record_crash(state.permit, server.start)
         logs.event(
             log,
             "Stream to a backend server broke.",
--- a/gypsumshift/serving/trialclaims.py
+++ b/gypsumshift/serving/trialclaims.py
@@ -1,4 +1,4 @@
-"""Claims of trials: each trial of a request held back is made by one process only."""
+"""Claims of trials: each trial of a held-back request is made by one process only."""
 
 import enum
 
@@ -6,53 +6,53 @@
 from gypsumshift.platforms import ABSENT, Row, RowStore, Write
 
 __all__ = [
-    "CRASHES",
-    "TRIAL",
-    "Claim",
+    "CRASHES_TABLE",
+    "TRIAL_KIND",
+    "ClaimResult",
     "TrialClaims",
     "split_key",
     "store_time",
     "trial_key",
 ]
 
-CRASHES = "crashes"
-# Second part of the keys of trials, where those of crashes have a process.
-TRIAL = "trial"
+CRASHES_TABLE = "crashes"
+# Second part of the key of a trial. In the key of a crash it is a process's session.
+TRIAL_KIND = "trial"
 
 
-class Claim(enum.Enum):
-    """Whose a trial is.
+class ClaimResult(enum.Enum):
+    """Result of the attempt to claim a trial.
 
     Attributes
     ----------
     OWN
-        This process is to make it.
-    ANOTHERS
-        Another process makes it, or has.
-    UNSETTLED
-        The store did not say.
+        This process has the claim and makes the trial.
+    OTHER
+        Another process has the claim; it makes the trial or has made it.
+    UNCERTAIN
+        The store did not answer or could not tell.
     """
 
     OWN = "own"
-    ANOTHERS = "another's"
-    UNSETTLED = "unsettled"
+    OTHER = "another's"
+    UNCERTAIN = "unsettled"
 
 
 class TrialClaims:
-    """Numbered rows that only one process can write first.
+    """Claims trials by numbered rows that only one process can create.
 
     Parameters
     ----------
     store : RowStore
     session : str
-        Start of this process, by which its rows are known.
+        Random identifier of this run of the process, stored in its rows.
 
     Attributes
     ----------
     claimed : dict
-        Version of the row of each trial that this process was to make, by its key.
+        Version of the row of each trial that this process claimed, by the trial's key.
     withdrawn : dict
-        The same of those that came to nothing, whose rows are still to be removed.
+        The same for withdrawn trials whose rows are still to be removed.
     """
 
     def __init__(self, store: RowStore, session: str):
@@ -61,44 +61,45 @@
         self.claimed: dict[str, int] = {}
         self.withdrawn: dict[str, int] = {}
 
-    async def claim(self, key: str) -> Claim:
-        """Write the row of a trial where there is none."""
+    async def claim(self, key: str) -> ClaimResult:
+        """Claim a trial by creating its row, if there is none yet."""
         value = {"by": self.session, "at": store_time(self.store)}
-        outcome = await self.store.commit([Write(CRASHES, key, value, ABSENT)])
+        outcome = await self.store.commit([Write(CRASHES_TABLE, key, value, ABSENT)])
         if isinstance(outcome, Committed):
             self.claimed[key] = outcome.version
-            return Claim.OWN
+            return ClaimResult.OWN
         if not isinstance(outcome, Conflict):
-            return Claim.UNSETTLED
-        # It may have met itself, sent twice, or one that was answered too late.
-        row = await self.store.read(CRASHES, key)
-        if not isinstance(row, Row) or not self.is_unused(row):
-            return Claim.ANOTHERS
+            return ClaimResult.UNCERTAIN
+        # The conflicting row may be of this process: its write was sent twice, or an
+        # earlier claim was answered after its time limit.
+        row = await self.store.read(CRASHES_TABLE, key)
+        if not isinstance(row, Row) or not self.is_unacknowledged(row):
+            return ClaimResult.OTHER
         self.claimed[key] = row.version
-        return Claim.OWN
+        return ClaimResult.OWN
 
-    def is_unused(self, row: Row) -> bool:
-        """Tell whether this process claimed a trial without knowing that it had."""
+    def is_unacknowledged(self, row: Row) -> bool:
+        """Return whether a row is a claim of this process that was never confirmed."""
         return row.value.get("by") == self.session and row.key not in self.claimed
 
     def withdraw(self, key: str) -> None:
-        """Have the row of a trial removed that came to nothing."""
+        """Queue the row of a trial that no server ran for removal."""
         version = self.claimed.pop(key, None)
         if version is not None:
             self.withdrawn[key] = version
 
-    def note_removal(self, key: str) -> None:
-        """Take that the row of a trial is removed."""
+    def discard_claim(self, key: str) -> None:
+        """Discard the claim of a trial whose row was removed."""
         self.claimed.pop(key, None)
 
-    async def write_withdrawal(self) -> Written:
-        """Remove the row of a trial that came to nothing, unless it is a newer one.
+    async def remove_withdrawn_row(self) -> Written:
+        """Remove the row of one withdrawn trial, unless the row has a newer version.
 
-        The store may carry a removal out once more, and late: another process may
-        have claimed the trial by then.
+        The store may repeat a removal later, when another process may already have
+        claimed the trial.
         """
         key, version = next(iter(self.withdrawn.items()))
-        write = Write(CRASHES, key, expected=version)
+        write = Write(CRASHES_TABLE, key, expected=version)
         outcome = await self.store.commit([write])
         if isinstance(outcome, (Committed, Conflict)):
             self.withdrawn.pop(key, None)
@@ -106,7 +107,7 @@
 
 
 def split_key(key: str) -> tuple[str, str, str]:
-    """Return fingerprint, kind or process, and number in a key."""
+    """Return fingerprint, kind or session, and number in a key."""
     fingerprint, _, rest = key.partition("/")
     kind, _, number = rest.partition("/")
     return fingerprint, kind, number
@@ -114,9 +115,9 @@
 
 def trial_key(fingerprint: str, number: int) -> str:
     """Return the key of a trial."""
-    return f"{fingerprint}/{TRIAL}/{number}"
+    return f"{fingerprint}/{TRIAL_KIND}/{number}"
 
 
 def store_time(store: RowStore) -> float:
-    """Return a store's time in seconds."""
+    """Return the current time of a store in seconds."""
     return round(store.now().total_seconds(), 3)
--- a/tests/job_builders.py
+++ b/tests/job_builders.py
@@ -45,7 +45,7 @@
     Service,
     Target,
 )
-from gypsumshift.serving.guard import Guard
+from gypsumshift.serving.crashguard import CrashGuard
 from gypsumshift.watch import run_all
 
 NAMES = HeaderNames(
@@ -206,7 +206,7 @@
         self.may_answer = asyncio.Event()
         self.may_answer.set()
         chance = random.Random(1)
-        self.guard = Guard(memory.MemoryTables(), SystemClock(), chance, METRICS)
+        self.guard = CrashGuard(memory.MemoryTables(), SystemClock(), chance, METRICS)
 
     async def forward(self, call):
         self.calls.append(call)
