--- a/gypsumshift/serving/authorization.py
+++ b/gypsumshift/serving/authorization.py
@@ -171,7 +171,7 @@
 
     def resolve_from_memory(self, digest: str, must_be_current: bool) -> Verdict:
         """Return the verdict on a key from the configuration in memory."""
-        workspace = self.directory.routes.workspaces.find(digest)
+        workspace = self.directory.routes.workspaces.find_by_digest(digest)
         if workspace is None:
             if self.freshness.age <= UNKNOWN_KEY_MAX_AGE_SECONDS:
                 return UnknownKey()
@@ -185,7 +185,7 @@
 
         False as well if the configuration is too old to accept keys.
         """
-        workspace = self.directory.routes.workspaces.find(grant.digest)
+        workspace = self.directory.routes.workspaces.find_by_digest(grant.digest)
         known = workspace is not None and workspace.name == grant.workspace
         return known and self.freshness.keys_accepted
 
--- a/gypsumshift/serving/forwarder.py
+++ b/gypsumshift/serving/forwarder.py
@@ -143,7 +143,7 @@
                 self.late_crashes.check_servers(permit, cancelled)
         took = self.clock.monotonic() - started
         outcome_name = type(outcome).__name__
-        self.metrics.time(
+        self.metrics.record_duration(
             "request_seconds", took, service=service, outcome=outcome_name
         )
         if not isinstance(outcome, Answered):
--- a/gypsumshift/serving/liveness.py
+++ b/gypsumshift/serving/liveness.py
@@ -22,4 +22,6 @@
     if listed is None or listed.start != server.start:
         # A new start of the server may already listen at the address.
         return True
-    return await fetcher.refuses(server.address, CONNECT_CHECK_TIMEOUT_SECONDS)
+    return await fetcher.is_connection_refused(
+        server.address, CONNECT_CHECK_TIMEOUT_SECONDS
+    )
--- a/gypsumshift/serving/sender.py
+++ b/gypsumshift/serving/sender.py
@@ -88,7 +88,7 @@
         if self.usage is None or call.usage_counted or not call.grant.workspace:
             return
         call.usage_counted = True
-        self.usage.note(call.grant.workspace, at)
+        self.usage.count_request(call.grant.workspace, at)
 
     def record_outcome(
         self, call, server, outcome: AttemptOutcome, took: float
--- a/gypsumshift/serving/streams.py
+++ b/gypsumshift/serving/streams.py
@@ -165,7 +165,7 @@
 
     def read_detached(self, body, deadline: float) -> AsyncIterator[bytes]:
         """Return a body that is read to its end even if the caller disconnects."""
-        parts: asyncio.Queue[bytes | Abandon | None] = asyncio.Queue()
+        parts: asyncio.Queue[bytes | ResponseAborted | None] = asyncio.Queue()
         self.start_trial_task(self.read_all(body, parts, deadline))
         return self.read_queue(parts)
 
@@ -186,7 +186,7 @@
             parts.put_nowait(end)
 
     async def read_queue(self, parts: asyncio.Queue):
-        """Yield the queued parts of a body; raise `Abandon` if it was cut off."""
+        """Yield queued parts of a body; raise `ResponseAborted` if it was cut off."""
         while (data := await parts.get()) is not None:
             if isinstance(data, ResponseAborted):
                 raise data
@@ -218,7 +218,7 @@
             try:
                 async with asyncio.timeout(left):
                     exchange = await self.open_at(call, server, after)
-            except Withheld:
+            except RequestWithheld:
                 state.server = None
                 continue
             except (FetchError, TimeoutError) as error:
@@ -327,7 +327,7 @@
             except FetchError as error:
                 gone = await self.sender.is_gone(error, server)
                 self.handle_broken_stream(state, server, str(error), True, gone)
-                raise Abandon(str(error)) from error
+                raise ResponseAborted(str(error)) from error
 
     async def relay_resumable(self, state: RelayState, exchange: Exchange, server):
         """Yield complete events, continuing at another server after a break."""
@@ -337,9 +337,9 @@
         while True:
             try:
                 with contextlib.closing(exchange):
-                    async for block in blocks(exchange, SILENCE_TIMEOUT_SECONDS):
+                    async for block in iter_events(exchange, SILENCE_TIMEOUT_SECONDS):
                         yield block + b"\n\n"
-                        state.last_event = field_of(block, "id") or state.last_event
+                        state.last_event = event_field(block, "id") or state.last_event
                 return
             except StreamBroken as error:
                 reason = str(error)
@@ -349,7 +349,7 @@
             opened = await self.open(state, state.last_event)
             if not isinstance(opened, tuple):
                 details = f"{reason}; {opened.reason}"
-                raise Abandon(
+                raise ResponseAborted(
                     f"cannot be resumed after event {state.last_event}: {details}"
                 )
             exchange, server = opened
--- a/tests/test_authorization.py
+++ b/tests/test_authorization.py
@@ -89,7 +89,7 @@
         await host.write(one=["k"])
         await host.refresh()
         host.store.delay = 5.0
-        await host.watch.step()
+        await host.watch.poll_once()
         host.store.unavailable = True
         assert isinstance(await host.authorize(), CannotTell)
 
@@ -164,7 +164,7 @@
         assert asked.is_set()
         assert asyncio.get_running_loop().time() - before < 0.2
         # After a failed query, requests do not wait at all.
-        host.watch.note_failure("silent")
+        host.watch.record_failure("silent")
         asked.clear()
         assert isinstance(await host.authorize(), CannotTell)
         assert not asked.is_set()
@@ -202,7 +202,7 @@
 
         host.store.snapshot = snapshot
         host.store.unavailable = True
-        await host.watch.step()
+        await host.watch.poll_once()
         assert host.watch.version == 1
         assert not host.freshness.keys_accepted
 
@@ -225,8 +225,12 @@
         await host.refresh()
         host.watch.version = -1
         for _ in range(3):
-            await host.watch.step()
-        assert waits == [POLL_SILENT, POLL_SILENT, POLL]
+            await host.watch.poll_once()
+        assert waits == [
+            MAX_FEED_WAIT_UNCONFIRMED,
+            MAX_FEED_WAIT_UNCONFIRMED,
+            MAX_FEED_WAIT,
+        ]
         assert host.freshness.keys_accepted
 
     run_scenario(scenario)
--- a/tests/test_revocations.py
+++ b/tests/test_revocations.py
@@ -28,7 +28,7 @@
         self.runner.close()
 
     def now(self):
-        return self.host.clock.elapsed()
+        return self.host.clock.monotonic_with_suspend()
 
     @rule(seconds=st.floats(0, 3))
     def wait(self, seconds):
@@ -45,7 +45,7 @@
 
     @rule()
     def poll_store(self):
-        self.do(self.host.watch.step())
+        self.do(self.host.watch.poll_once())
 
     @rule()
     def revoke(self):
