--- a/gypsumshift/backendrequest.py
+++ b/gypsumshift/backendrequest.py
@@ -18,7 +18,7 @@
 ]
 
 MAX_EVENT_BYTES = 1024 * 1024
-HOP_BY_HOP_HEADERS = {
+UNFORWARDED_HEADERS = {
     b"connection",
     b"content-length",
     b"host",
@@ -38,7 +38,7 @@
     return [
         (name, value)
         for name, value in headers
-        if name.lower() not in HOP_BY_HOP_HEADERS
+        if name.lower() not in UNFORWARDED_HEADERS
     ]
 
 
--- a/gypsumshift/httpserver.py
+++ b/gypsumshift/httpserver.py
@@ -150,7 +150,7 @@
         self.closing = False
 
     async def listen(self, host: str, port: int) -> int:
-        """Listen on an address; return the port, which the system chooses for 0."""
+        """Listen on an address; return the port (chosen by the system for 0)."""
         self.listener = await asyncio.start_server(
             self.accept, host, port, backlog=4096
         )
--- a/gypsumshift/watch.py
+++ b/gypsumshift/watch.py
@@ -146,7 +146,7 @@
 
     async def poll_changes(self, wait: datetime.timedelta) -> None:
         """Request changes from the feed; an accepted answer confirms the copy."""
-        began = self.clock.elapsed()
+        began = self.clock.monotonic_with_suspend()
         answer = await self.store.changes(self.table, self.version, wait)
         if self.process_answer(answer, whole=False):
             self.confirmed = True
--- a/tests/test_neighbour_registry.py
+++ b/tests/test_neighbour_registry.py
@@ -205,7 +205,7 @@
     async def scenario(fleet):
         first, gone, silent = await fleet.start()
         await fleet.store.commit([Write(NEIGHBOURS_TABLE, gone.own.name, None)])
-        fleet.store.forget()
+        fleet.store.drop_history()
         await first.watch.poll_once()
         await first.watch.poll_once()
         assert set(first.path.neighbours) == {silent.own.name}
@@ -224,7 +224,7 @@
         for _ in range(3):
             await fleet.follow(first, ENTRY_TIMEOUT_S / 2)
             await fleet.store.commit([Write("other", "row", {})])
-            fleet.store.forget()
+            fleet.store.drop_history()
             await fleet.follow(first, 1)
         await first.announce()
         assert await fleet.store.names() == [first.own.name]
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -248,7 +248,7 @@
     """Let a follower read the table and then detect that the history is lost."""
     await follower.watch.poll_once()
     await store.commit([Write("other", "row", {})])
-    store.forget()
+    store.drop_history()
     await follower.watch.poll_once()
     assert follower.watch.version == -1
 
