--- a/gypsumshift/httpserver.py
+++ b/gypsumshift/httpserver.py
@@ -138,7 +138,8 @@
     Attributes
     ----------
     leaving : bool
-        Whether responses tell callers to use another connection (``connection: close``).
+        Whether responses ask callers to use another connection, by a header field
+        ``connection: close``.
     """
 
     def __init__(self, handler: Handler, max_body_bytes: int = MAX_BODY_BYTES):
