--- a/gypsumshift/httpserver.py
+++ b/gypsumshift/httpserver.py
@@ -132,12 +132,12 @@
     ----------
     handler : callable
         Takes a `Request`, returns a `Response`.
-    body_limit : int
+    max_body_bytes : int
         Maximum size of a request's body.
 
     Attributes
     ----------
-    leaving : bool
+    draining : bool
         Whether responses ask callers to use another connection, by a header field
         ``connection: close``.
     """
--- a/gypsumshift/watch.py
+++ b/gypsumshift/watch.py
@@ -1,4 +1,4 @@
-"""Watch: keep a copy of a table current by its feed of changes."""
+"""Watch: keep a local copy of a store table up to date through its change feed."""
 
 import asyncio
 import datetime
@@ -44,7 +44,7 @@
     replace : callable
         Called with the rows of the whole table after it was read as a whole.
     clock : Clock
-    on_return : callable
+    on_recovery : callable
         Called when the store answers again after a failure.
     keeps_rows : bool
         Whether to keep the rows, so that neighbours can request them.
@@ -88,7 +88,7 @@
         apply: Callable[[list[Row]], None],
         replace: Callable[[list[Row]], None],
         clock: Clock,
-        on_return: Callable[[], None] = lambda: None,
+        on_recovery: Callable[[], None] = lambda: None,
         keeps_rows: bool = False,
         unreadable: Callable[[Row], None] | None = None,
         batch_interval: float = BATCH_INTERVAL_S,
@@ -99,7 +99,7 @@
         self.keeps_rows = keeps_rows
         self.unreadable = unreadable or log_unreadable
         self.rows: dict[tuple[str, str], Row] = {}
-        self.on_return = on_return
+        self.on_recovery = on_recovery
         self.store = store
         self.table = table
         self.apply = apply
@@ -136,9 +136,9 @@
         table that is applied as changes would not remove deleted rows.
         """
         if self.version >= 0:
-            hasty = self.failures or not self.confirmed
+            short_wait = self.failures or not self.confirmed
             await self.poll_changes(
-                MAX_FEED_WAIT_UNCONFIRMED if hasty else self.max_feed_wait
+                MAX_FEED_WAIT_UNCONFIRMED if short_wait else self.max_feed_wait
             )
             return
         answer = await self.store.snapshot(self.table, self.min_version)
@@ -189,7 +189,7 @@
             )
             self.failures = 0
             self.recovered_at = self.clock.monotonic()
-            self.on_return()
+            self.on_recovery()
         if answer.version < self.version:
             # The store may serve an old copy; the version never decreases.
             return False
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -38,18 +38,18 @@
 
 
 class UnavailableTables(MemoryTables):
-    """Tables that are unavailable while ``away`` is set."""
+    """Tables that are unavailable while ``unavailable`` is set."""
 
-    away = True
+    unavailable = True
 
     async def snapshot(self, table, after=0):
-        if self.away:
-            return Unavailable("away")
+        if self.unavailable:
+            return Unavailable("down")
         return await super().snapshot(table, after)
 
     async def changes(self, table, after, wait):
-        if self.away:
-            return Unavailable("away")
+        if self.unavailable:
+            return Unavailable("down")
         return await super().changes(table, after, wait)
 
 
@@ -73,11 +73,11 @@
     async def run():
         store = UnavailableTables()
         await store.commit([Write(TABLE, "a", {"v": 1})])
-        store.away = False
+        store.unavailable = False
         old_server, old = await start_neighbour("old", store)
         await store.commit([Write(TABLE, "a", {"v": 2}), Write(TABLE, "b", {"v": 1})])
         new_server, new = await start_neighbour("new", store)
-        store.away = True
+        store.unavailable = True
         received = []
         watch = make_watch(store, received)
         bootstrap = Bootstrap([watch], make_path([old, new]), SystemClock())
@@ -88,7 +88,7 @@
         assert watch.current_at == float("-inf"), (
             "a neighbour's copy may be out of date"
         )
-        store.away = False
+        store.unavailable = False
         await store.commit([Write(TABLE, "b", None)])
         await watch.poll_once()
         assert received[-1].key == "b" and received[-1].value is None
--- a/tests/test_sharedreads.py
+++ b/tests/test_sharedreads.py
@@ -30,12 +30,12 @@
     """Tables that count whole reads, each of which takes 20 ms."""
 
     reads = 0
-    away = False
+    unavailable = False
 
     async def snapshot(self, table, after=0):
         self.reads += 1
-        if self.away:
-            return Unavailable("away")
+        if self.unavailable:
+            return Unavailable("down")
         changes = await super().snapshot(table, after)
         await asyncio.sleep(0.02)
         return changes
@@ -133,7 +133,7 @@
 @scenario
 async def test_all_processes_report_unavailable_store(world):
     store, clock = CountedTables(), ManualClock()
-    store.away = True
+    store.unavailable = True
     found = await start_zone(world, 4, store, clock)
     answers = await asyncio.gather(*(reads.snapshot(ROWS) for reads in found))
     assert all(isinstance(answer, Unavailable) for answer in answers)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -155,12 +155,12 @@
 
     def __init__(self):
         super().__init__()
-        self.asked = asyncio.Event()
+        self.read_started = asyncio.Event()
         self.may_answer = asyncio.Event()
         self.may_answer.set()
 
     async def snapshot(self, table, after=0):
-        self.asked.set()
+        self.read_started.set()
         await self.may_answer.wait()
         return self.copy or await super().snapshot(table, after)
 
@@ -186,7 +186,7 @@
         for row in rows:
             (self.keys.discard if row.value is None else self.keys.add)(row.key)
 
-    def kept(self):
+    def kept_keys(self):
         return {row.key for row in self.watch.kept_table().rows}
 
 
@@ -201,7 +201,7 @@
     """Load a neighbour's copy while a read of the whole table is in progress."""
     store.may_answer.clear()
     poll = asyncio.create_task(follower.watch.poll_once())
-    await store.asked.wait()
+    await store.read_started.wait()
     assert follower.watch.load_copy(changes)
     store.may_answer.set()
     await poll
@@ -222,7 +222,7 @@
         follower = Follower(store)
         await load_copy_during_read(store, follower, old)
         assert follower.watch.version == store.version
-        assert follower.keys == follower.kept() == {"stays"}
+        assert follower.keys == follower.kept_keys() == {"stays"}
 
     asyncio.run(run())
 
@@ -236,10 +236,10 @@
         await store.commit([Write(TABLE, "gone", None)])
         follower = Follower(store)
         await load_copy_during_read(store, follower, await write_rows(store, "new"))
-        assert follower.keys == follower.kept() == {"new"}
+        assert follower.keys == follower.kept_keys() == {"new"}
         await write_rows(store, "newest")
         await follower.watch.poll_once()
-        assert follower.keys == follower.kept() == {"new", "newest"}
+        assert follower.keys == follower.kept_keys() == {"new", "newest"}
 
     asyncio.run(run())
 
@@ -274,7 +274,7 @@
         with logbook.TestHandler() as lines:
             await watch.poll_once()
             await watch.poll_once()
-        assert follower.keys == follower.kept() == {"a"}
+        assert follower.keys == follower.kept_keys() == {"a"}
         assert watch.failures == 2, "run() retries after a pause"
         assert (watch.version, watch.current_at) == (-1, current_at)
         logged = [record.message for record in lines.records]
@@ -282,7 +282,7 @@
         store.copy = None
         await watch.poll_once()
         assert (watch.version, watch.failures) == (store.version, 0)
-        assert follower.keys == follower.kept() == {"a"}
+        assert follower.keys == follower.kept_keys() == {"a"}
 
     asyncio.run(run())
 
