--- a/bench/instances.py
+++ b/bench/instances.py
@@ -35,7 +35,11 @@
 
     def revision_changed() -> None:
         inner()
-        line = {"at": time.time(), "name": name, "number": process.in_force.number}
+        line = {
+            "at": time.time(),
+            "name": name,
+            "number": process.active_revision.number,
+        }
         log.write(json.dumps(line) + "\n")
 
     process.revision_changed = revision_changed
--- a/gypsumshift/runs.py
+++ b/gypsumshift/attemptrunner.py
@@ -21,17 +21,17 @@
 from gypsumshift.links import Session
 from gypsumshift.process import Process
 
-__all__ = ["Run", "Runs"]
+__all__ = ["AttemptRun", "AttemptRunner"]
 
-KEPT_BODY_LIMIT = 1024 * 1024
-WHOLE_LIMIT = 256 * 1024
-RETRY_SOON = 0.2
-BUSY = "busy"
+MAX_KEPT_BODY_BYTES = 1024 * 1024
+MAX_WHOLE_BODY_BYTES = 256 * 1024
+RETRY_AFTER_S = 0.2
+BUSY_REASON = "busy"
 QUEUE_SHARE_OF_TIMEOUT = 0.9
 
 
 @attrs.define(eq=False)
-class Run:
+class AttemptRun:
     """One attempt that waits or runs here.
 
     Attributes
@@ -48,12 +48,12 @@
     exchange: int
     task: asyncio.Task | None = None
 
-    async def reply(self, body: Body) -> None:
+    async def send_reply(self, body: Body) -> None:
         """Send an answer, or a part of one."""
         await self.session.reply(self.exchange, body)
 
 
-class Runs:
+class AttemptRunner:
     """Takes attempts, gives them places, sends them and answers.
 
     Parameters
@@ -70,11 +70,11 @@
         self.fetcher = fetcher
         self.clock = process.clock
         self.recorder = process.recorder
-        self.attempts = AttemptLog()
-        self.running: dict[str, Run] = {}
+        self.attempt_log = AttemptLog()
+        self.running: dict[str, AttemptRun] = {}
         self.admission = new_admission(backend.pool, process.clock)
 
-    def declare(self, pool: Pool) -> None:
+    def update_pool(self, pool: Pool) -> None:
         """Follow the declaration of the pool; what waits goes on waiting."""
         fresh = new_admission(pool, self.clock)
         if type(self.admission) is type(fresh):
@@ -83,7 +83,7 @@
         elif not self.running:
             self.admission = fresh
 
-    def load(self) -> messages.Load:
+    def current_load(self) -> messages.Load:
         """Return the load of the backend server."""
         admission, state = self.admission, self.backend.state
         waits = admission.waiting * admission.duration / max(1, admission.limit.value)
@@ -96,74 +96,78 @@
             healthy=state.healthy,
             swapping=self.backend.swapping,
             duration_s=admission.duration,
-            mark=self.attempts.arrivals,
+            mark=self.attempt_log.arrivals,
             queued_clients=admission.waiting_of[RequestClass.CLIENT],
             queued_internal=admission.waiting_of[RequestClass.INTERNAL],
         )
 
     # Beginning
 
-    def accept(self, session: Session, exchange: int, start: Start) -> None:
+    def accept_attempt(self, session: Session, exchange: int, start: Start) -> None:
         """Take one attempt, and run it in a task of its own."""
-        run = Run(start, session, exchange)
-        reason = self.obstacle(start)
+        run = AttemptRun(start, session, exchange)
+        reason = self.refusal_reason(start)
         if reason:
-            self.process.spawn(self.refuse(run, reason, RETRY_SOON))
+            self.process.spawn(self.send_refusal(run, reason, RETRY_AFTER_S))
             return
         self.running[start.attempt] = run
         if not start.repeatable:
-            self.attempts.start(start.attempt)
-        run.task = self.process.spawn(self.run(run))
+            self.attempt_log.start(start.attempt)
+        run.task = self.process.spawn(self.run_attempt(run))
 
-    def obstacle(self, start: Start) -> str:
+    def refusal_reason(self, start: Start) -> str:
         """Return what stands against an attempt; empty for nothing."""
         own, view = self.process.own, self.process.view
         if start.incarnation != own.incarnation:
             return "meant for an earlier process here"
         if start.attempt in self.running:
             return "named like one that runs"
-        if not start.repeatable and not self.attempts.may_start(start.attempt):
+        if not start.repeatable and not self.attempt_log.may_start(start.attempt):
             return "barred"
         if own.leaving:
             return "leaving"
         if view.deposed(own.backend, own.fence):
             return "replaced by a newer sidecar"
-        if not self.process.in_force.ready:
+        if not self.process.active_revision.ready:
             return "no revision yet"
         if not self.backend.state.healthy:
             return "the backend server is not healthy"
         if start.oldest_version > (self.backend.state.version or 0):
             return "the weights are too old"
-        return BUSY if start.no_wait and not self.has_place(start) else ""
+        return BUSY_REASON if start.no_wait and not self.has_free_slot(start) else ""
 
-    def has_place(self, start: Start) -> bool:
+    def has_free_slot(self, start: Start) -> bool:
         """Tell whether a request would run at once, and not through a swap."""
         if self.backend.swapping and start.request_class != RequestClass.SAMPLE:
             return False
         return self.admission.has_place(start.request_class)
 
-    async def refuse(self, run: Run, reason: str, retry_after: float) -> None:
+    async def send_refusal(
+        self, run: AttemptRun, reason: str, retry_after: float
+    ) -> None:
         """Answer truly that an attempt has not run and never will."""
-        await run.reply(self.refusal(run, reason, retry_after))
+        await run.send_reply(self.make_refusal(run, reason, retry_after))
 
-    def refusal(self, run: Run, reason: str, retry_after: float) -> Body:
+    def make_refusal(self, run: AttemptRun, reason: str, retry_after: float) -> Body:
         """Return a true "not run"."""
         self.recorder.note("not-run", run.start.attempt, reason)
         retry_ms = int(retry_after * 1000)
-        refused = messages.Refused(reason, retry_ms, self.load(), reason == BUSY)
+        refused = messages.Refused(
+            reason, retry_ms, self.current_load(), reason == BUSY_REASON
+        )
         return Body(refused=refused)
 
-    async def run(self, run: Run) -> None:
+    async def run_attempt(self, run: AttemptRun) -> None:
         """Wait for a place, run one attempt and answer it."""
-        ticket = self.ticket(run.start)
+        ticket = self.new_ticket(run.start)
         last = None
         try:
-            retry_after = await self.await_place(ticket)
+            retry_after = await self.wait_for_slot(ticket)
             if retry_after:
-                self.attempts.withdraw(run.start.attempt)
-                last = self.refusal(run, "overload", retry_after)
+                self.attempt_log.withdraw(run.start.attempt)
+                last = self.make_refusal(run, "overload", retry_after)
             else:
-                last = await self.send(run, ticket)
+                last = await self.send_attempt(run, ticket)
         finally:
             self.admission.withdraw(ticket)
             if ticket.admitted:
@@ -171,18 +175,18 @@
                 self.admission.release(ticket, answered)
             self.running.pop(run.start.attempt, None)
         # Only now, so that the load that it reports no longer counts it.
-        await run.reply(self.with_load(last))
+        await run.send_reply(self.set_load(last))
 
-    def with_load(self, body: Body) -> Body:
+    def set_load(self, body: Body) -> Body:
         """Return the last message about an attempt, with the load as it is now."""
         for part in (body.end, body.broken, body.refused):
             if part is not None:
-                part.load = self.load()
+                part.load = self.current_load()
         if body.whole is not None:
-            body.whole.end.load = self.load()
+            body.whole.end.load = self.current_load()
         return body
 
-    def ticket(self, start: Start) -> Ticket:
+    def new_ticket(self, start: Start) -> Ticket:
         """Return the ticket of an attempt."""
         return Ticket(
             workspace=start.workspace,
@@ -192,7 +196,7 @@
             urgency=start.urgency,
         )
 
-    async def await_place(self, ticket: Ticket) -> float:
+    async def wait_for_slot(self, ticket: Ticket) -> float:
         """Wait for a place; return 0, or seconds to come back after."""
         decided = asyncio.get_running_loop().create_future()
         ticket.decide = lambda admitted: decided.done() or decided.set_result(admitted)
@@ -211,7 +215,7 @@
 
     # Sending
 
-    async def send(self, run: Run, ticket: Ticket) -> Body:
+    async def send_attempt(self, run: AttemptRun, ticket: Ticket) -> Body:
         """Send one attempt to the backend server; return the last message about it."""
         start = run.start
         self.recorder.note("start", start.attempt, f"{start.method} {start.target}")
@@ -226,40 +230,40 @@
                     self.backend.state.version,
                 )
                 with contextlib.closing(reply.exchange):
-                    return await self.relay(run, reply)
+                    return await self.relay_response(run, reply)
         except FetchError as error:
             if error.sent and error.closed:
                 # The load in the answer then says whether it is gone.
                 await self.backend.ask()
-            return self.failure(run, str(error), error.sent)
+            return self.make_failure(run, str(error), error.sent)
         except TimeoutError:
-            return self.failure(run, "no answer in time", True)
+            return self.make_failure(run, "no answer in time", True)
 
-    async def relay(self, run: Run, reply: BackendResponse) -> Body:
+    async def relay_response(self, run: AttemptRun, reply: BackendResponse) -> Body:
         """Pass an answer on: a short one at once, others as they come."""
         held, kept = bytearray(), bytearray()
         keep = not run.start.repeatable
         headed = reply.streams
         if headed:
-            await run.reply(Body(head=reply.head))
+            await run.send_reply(Body(head=reply.head))
         async for data in reply.chunks():
-            if keep and len(kept) <= KEPT_BODY_LIMIT:
+            if keep and len(kept) <= MAX_KEPT_BODY_BYTES:
                 kept += data
             if headed:
-                await run.reply(Body(chunk=messages.Chunk(data)))
+                await run.send_reply(Body(chunk=messages.Chunk(data)))
                 continue
             held += data
-            if len(held) > WHOLE_LIMIT:
-                await run.reply(Body(head=reply.head))
-                await run.reply(Body(chunk=messages.Chunk(bytes(held))))
+            if len(held) > MAX_WHOLE_BODY_BYTES:
+                await run.send_reply(Body(head=reply.head))
+                await run.send_reply(Body(chunk=messages.Chunk(bytes(held))))
                 headed = True
-        end = await self.end(run, reply, kept)
+        end = await self.finish_response(run, reply, kept)
         if headed:
             return Body(end=end)
         return Body(whole=messages.Whole(reply.head, bytes(held), end))
 
-    async def end(
-        self, run: Run, reply: BackendResponse, kept: bytearray
+    async def finish_response(
+        self, run: AttemptRun, reply: BackendResponse, kept: bytearray
     ) -> messages.End:
         """Label an answer that has ended, and keep it where it may be asked for."""
         after = None
@@ -267,44 +271,44 @@
             after = (await self.backend.ask()).version
         spans = reply.reader.spans(after)
         if not run.start.repeatable:
-            head = reply.head if len(kept) <= KEPT_BODY_LIMIT else None
-            self.attempts.finish(run.start.attempt, head, bytes(kept))
+            head = reply.head if len(kept) <= MAX_KEPT_BODY_BYTES else None
+            self.attempt_log.finish(run.start.attempt, head, bytes(kept))
         seen = ",".join(str(version) for version in distinct_versions(spans))
         detail = f"versions {seen}" if seen else ""
         self.recorder.note("end", run.start.attempt, detail)
         return messages.End(spans)
 
-    def failure(self, run: Run, reason: str, sent: bool) -> Body:
+    def make_failure(self, run: AttemptRun, reason: str, sent: bool) -> Body:
         """Return that an attempt failed: not run where nothing was sent."""
         attempt = run.start.attempt
         if not sent:
-            self.attempts.withdraw(attempt)
-            return self.refusal(run, reason, RETRY_SOON)
+            self.attempt_log.withdraw(attempt)
+            return self.make_refusal(run, reason, RETRY_AFTER_S)
         if not run.start.repeatable:
-            self.attempts.finish(attempt, None, b"")
+            self.attempt_log.finish(attempt, None, b"")
         self.recorder.note("broken", attempt, reason)
         return Body(broken=messages.Broken(reason))
 
     # Ending
 
-    def cancel(self, attempt: str) -> None:
+    def cancel_attempt(self, attempt: str) -> None:
         """Give up an attempt whose caller is gone, where it may be repeated."""
         run = self.running.get(attempt)
         if run and run.start.repeatable and run.task:
             run.task.cancel()
 
-    def bar(self, bar: messages.Bar) -> messages.BarReply:
+    def bar_attempt(self, bar: messages.Bar) -> messages.BarReply:
         """Answer what became of an attempt; one not started never will."""
         if bar.incarnation != self.process.own.incarnation:
             return messages.BarReply(messages.AttemptState.UNKNOWN, None, b"")
-        record = self.attempts.bar(bar.attempt)
+        record = self.attempt_log.bar(bar.attempt)
         return messages.BarReply(record.state, record.head, record.body)
 
-    def session_ended(self, session: Session) -> None:
+    def cancel_session_attempts(self, session: Session) -> None:
         """Give up what a lost entry can no longer receive."""
         for attempt, run in list(self.running.items()):
             if run.session is session:
-                self.cancel(attempt)
+                self.cancel_attempt(attempt)
 
 
 def new_admission(pool: Pool, clock) -> Admission:
--- a/gypsumshift/backendrequest.py
+++ b/gypsumshift/backendrequest.py
@@ -76,7 +76,7 @@
         except (ValueError, AttributeError, TypeError):
             self.labeller.bare = True
             return
-        self.labeller.add(piece.tokens, piece.version)
+        self.labeller.add_tokens(piece.tokens, piece.version)
 
     @property
     def needs_final_version(self) -> bool:
@@ -85,7 +85,7 @@
 
     def spans(self, after: int | None) -> list[Span]:
         """Return the spans of a finished stream; none where a version is in doubt."""
-        return self.labeller.finish(after) or []
+        return self.labeller.final_spans(after) or []
 
 
 @attrs.define
--- a/gypsumshift/callers.py
+++ b/gypsumshift/callers.py
@@ -10,7 +10,7 @@
 from gypsumshift.generated.declarations import Parameters
 from gypsumshift.generated.messages import RequestClass
 from gypsumshift.httpserver import Request, Response, ResponseAborted, problem_response
-from gypsumshift.keys import KeyOwner, Mismatch, Replayed
+from gypsumshift.idempotency import IdempotentRunner, KeyMismatch, ReplayedAnswer
 from gypsumshift.links import LinkError
 from gypsumshift.outcomes import NotRun, Unknown
 from gypsumshift.process import Process
@@ -65,7 +65,9 @@
         self.process = process
         self.clock = process.clock
         self.dispatcher = dispatcher
-        self.keys = KeyOwner(process.platform, dispatcher, process.clock)
+        self.idempotent_runner = IdempotentRunner(
+            process.platform, dispatcher, process.clock
+        )
         self.waiting: dict[str, int] = {}
 
     async def serve(self, request: Request, workspace: str, rest: str) -> Response:
@@ -78,7 +80,7 @@
         rest : str
             Path behind the workspace, with its leading slash.
         """
-        parameters = self.process.in_force.catalog.workspaces[workspace]
+        parameters = self.process.active_revision.catalog.workspaces[workspace]
         job = self.job(request, workspace, rest, parameters)
         if isinstance(job, Response):
             return job
@@ -163,11 +165,11 @@
         key = request.header(KEY_HEADER)
         if key and not job.repeatable:
             # It goes on when the caller is gone, so that its key is settled.
-            run = self.process.spawn(self.keys.run(key, job))
+            run = self.process.spawn(self.idempotent_runner.run_once(key, job))
             result = await asyncio.shield(run)
         else:
             result = await self.dispatcher.send(job)
-        if isinstance(result, Mismatch):
+        if isinstance(result, KeyMismatch):
             detail = "this Idempotency-Key came before with another request"
             return problem_response(422, "not run", detail), "mismatch"
         if isinstance(result, NotRun):
@@ -178,7 +180,7 @@
         if isinstance(result, Unknown):
             members = {"attempts": job.attempts}
             return problem_response(504, "unknown", result.reason, **members), "unknown"
-        if isinstance(result, Replayed):
+        if isinstance(result, ReplayedAnswer):
             response = self.whole(result.whole, job)
             response.headers.append(("idempotency-replayed", "true"))
             return response, "replayed"
--- a/gypsumshift/dispatch.py
+++ b/gypsumshift/dispatch.py
@@ -142,7 +142,7 @@
 
     def router(self, pool: str) -> Router:
         """Return the router of a pool, as declared now."""
-        declared = self.process.in_force.catalog.pools.get(pool)
+        declared = self.process.active_revision.catalog.pools.get(pool)
         kind = declared.routing if declared else "load"
         if type(self.routers.get(pool)) is not ROUTERS[kind]:
             view, chance = self.process.view, self.process.random
@@ -151,7 +151,7 @@
 
     def budget(self, workspace: str) -> RetryBudget:
         """Return the retry budget of a workspace, as declared now."""
-        declared = self.process.in_force.catalog.workspaces.get(workspace)
+        declared = self.process.active_revision.catalog.workspaces.get(workspace)
         ratio = declared.retry_ratio if declared else 0.1
         burst = declared.retry_burst if declared else 10
         budget = self.budgets.setdefault(workspace, RetryBudget(ratio, burst))
--- a/gypsumshift/entry.py
+++ b/gypsumshift/entry.py
@@ -5,12 +5,12 @@
 from gypsumshift.callers import Callers
 from gypsumshift.dispatch import Dispatcher
 from gypsumshift.generated.messages import Role
-from gypsumshift.generation import Generator
 from gypsumshift.httpserver import HttpServer, Request, Response, problem_response
 from gypsumshift.members import rank
 from gypsumshift.operators import Operators
 from gypsumshift.process import Process
-from gypsumshift.trainers import Trainers
+from gypsumshift.trainerapi import TrainerApi
+from gypsumshift.trainerdriver import DriverManager
 
 __all__ = ["Entry"]
 
@@ -35,8 +35,8 @@
         super().__init__(settings, platform, clock)
         self.dispatcher = Dispatcher(self)
         self.callers = Callers(self, self.dispatcher)
-        self.generator = Generator(self, self.dispatcher)
-        self.trainers = Trainers(self, self.generator)
+        self.driver_manager = DriverManager(self, self.dispatcher)
+        self.trainer_api = TrainerApi(self, self.driver_manager)
         self.operator_face = Operators(self)
         self.front = HttpServer(self.serve_caller)
         self.front_address = ("", 0)
@@ -62,14 +62,14 @@
         self.recorder.note("leaving", self.own.name)
         log.info("Leaves; finishes what runs.")
         self.heartbeats.wake.set()
-        await self.generator.release()
+        await self.driver_manager.release_leases()
         await self.clock.sleep(BALANCER_PAUSE)
         await self.front.stop(deadline)
         self.stopped.set()
 
     def revision_changed(self) -> None:
         """Start drivers for new trainers."""
-        self.generator.follow()
+        self.driver_manager.start_missing_drivers()
 
     # Whom it knows
 
@@ -108,19 +108,19 @@
         """Answer one request of a caller or trainer."""
         if request.path == "/health":
             return self.health()
-        if not self.in_force.ready:
+        if not self.active_revision.ready:
             detail = "this entry has no revision yet"
             return problem_response(503, "not run", detail, retry_after=1.0)
         workspace, slash, rest = request.path.lstrip("/").partition("/")
-        if workspace not in self.in_force.catalog.workspaces:
+        if workspace not in self.active_revision.catalog.workspaces:
             return problem_response(
                 404, "not run", f"there is no workspace {workspace!r}"
             )
-        if not has_workspace_key(request, workspace, self.in_force.catalog.keys):
+        if not has_workspace_key(request, workspace, self.active_revision.catalog.keys):
             return unauthorized(f"{workspace} takes requests with one of its keys")
         if rest.startswith("trainers/"):
             rest = rest.removeprefix("trainers/")
-            return await self.trainers.serve(request, workspace, rest)
+            return await self.trainer_api.handle_request(request, workspace, rest)
         return await self.callers.serve(request, workspace, slash + rest)
 
     async def serve_operator(self, request):
@@ -137,12 +137,14 @@
             figures[f"ejected.{pool}"] = router.ejected()
         for name, budget in self.dispatcher.budgets.items():
             figures[f"retry_budget.{name}"] = round(budget.left, 2)
-        for name, driver in self.generator.drivers.items():
+        for name, driver in self.driver_manager.drivers.items():
             figures[f"drives.{name}"] = int(driver.lease.held)
             figures[f"groups_running.{name}"] = len(driver.running)
-            figures[f"groups_ready.{name}"] = driver.ready
-            figures[f"stragglers_moved.{name}"] = driver.sampler.moved
-        for name, idle in self.trainers.idle.items():
+            figures[f"groups_ready.{name}"] = driver.ready_count
+            figures[f"stragglers_moved.{name}"] = driver.sampler.migrated
+        for name, idle in self.trainer_api.idle_seconds.items():
             figures[f"idle_seconds.{name}"] = round(idle, 4)
-            figures[f"staleness.{name}"] = round(self.trainers.staleness[name], 3)
+            figures[f"staleness.{name}"] = round(
+                self.trainer_api.mean_staleness[name], 3
+            )
         return figures
--- a/gypsumshift/groups.py
+++ b/gypsumshift/groups.py
@@ -4,7 +4,7 @@
 
 from gypsumshift.platforms import ABSENT
 
-__all__ = ["Group", "Sample", "Step", "Trainee"]
+__all__ = ["Group", "Sample", "Step", "TrainerState"]
 
 
 @attrs.frozen
@@ -74,18 +74,18 @@
     failed: str = ""
 
     @property
-    def waits(self) -> bool:
+    def is_pending(self) -> bool:
         """Whether its samples are still to be generated."""
         return not self.object and not self.failed
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether its samples are there."""
         return bool(self.object)
 
 
 @attrs.define
-class Trainee:
+class TrainerState:
     """Where one trainer stands.
 
     Attributes
--- a/gypsumshift/heartbeats.py
+++ b/gypsumshift/heartbeats.py
@@ -71,7 +71,7 @@
             if answer.heartbeat is None:
                 return
             self.hear(answer.heartbeat)
-            if answer.heartbeat.revision > self.process.in_force.number:
+            if answer.heartbeat.revision > self.process.active_revision.number:
                 await self.pull_revision(link)
         except LinkError as error:
             log.debug("No heartbeat from {}:{}: {}.", *address, error)
@@ -80,7 +80,7 @@
 
     async def pull_revision(self, link: Link) -> None:
         """Ask a peer for its revision and put it in force where it is newer."""
-        question = messages.PullRevision(self.process.in_force.number)
+        question = messages.PullRevision(self.process.active_revision.number)
         answer = await link.ask(Body(pull_revision=question), PULL_TIMEOUT)
         if answer.revision is not None:
             self.process.adopt(answer.revision.number, answer.revision.text)
@@ -90,7 +90,7 @@
         targets = self.process.targets
         return Heartbeat(
             sender=self.process.own,
-            revision=self.process.in_force.number,
+            revision=self.process.active_revision.number,
             load=self.process.load(),
             peers=self.peers_to_tell(pool),
             targets=[
@@ -130,6 +130,6 @@
         """Return the answer to a heartbeat; ask at once where its news is newer."""
         self.hear(heartbeat)
         self.process.view.note_call(heartbeat.sender.name)
-        if heartbeat.revision > self.process.in_force.number:
+        if heartbeat.revision > self.process.active_revision.number:
             self.wake.set()
         return self.compose(heartbeat.sender.pool)
--- a/gypsumshift/keys.py
+++ b/gypsumshift/idempotency.py
@@ -28,27 +28,27 @@
 )
 from gypsumshift.platforms import ABSENT, Platform, Row, Write
 
-__all__ = ["KeyOwner", "Mismatch", "Replayed"]
+__all__ = ["IdempotentRunner", "KeyMismatch", "ReplayedAnswer"]
 
 KEYS_TABLE = "keys"
 CLAIMED = "claimed"
 DONE = "done"
-INLINE_LIMIT = 16 * 1024
-TRIES = 8
-SETTLE_TRIES = 4
-KEEP_TRIES = 120
-KEEP_PAUSE = 1.0
+MAX_INLINE_BODY_BYTES = 16 * 1024
+MAX_ATTEMPTS = 8
+MAX_CLAIM_TRIES = 4
+MAX_STORE_TRIES = 120
+STORE_RETRY_S = 1.0
 
 log = logs.logger("keys")
 
 
 @attrs.frozen
-class Mismatch:
+class KeyMismatch:
     """The key came before with another request."""
 
 
 @attrs.frozen
-class Replayed:
+class ReplayedAnswer:
     """The answer that an earlier request with the same key got.
 
     Attributes
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen
-class Claim:
+class KeyClaim:
     """Who runs the request of a key.
 
     Attributes
@@ -85,7 +85,7 @@
     time: str
 
 
-def digest_of(job: Job) -> str:
+def request_digest(job: Job) -> str:
     """Return a digest of what a request asks for."""
     parts = (job.method.encode(), job.target.encode(), job.body)
     return hashlib.sha256(b"\0".join(parts)).hexdigest()
@@ -96,7 +96,7 @@
     return f"{workspace}/{hashlib.sha256(key.encode()).hexdigest()}"
 
 
-class KeyOwner:
+class IdempotentRunner:
     """Runs requests with keys, at most once each, through any entry.
 
     Parameters
@@ -112,7 +112,7 @@
         self.dispatcher = dispatcher
         self.clock = clock
 
-    async def run(self, key: str, job: Job):
+    async def run_once(self, key: str, job: Job):
         """Run a request, or tell what became of it.
 
         Returns
@@ -120,31 +120,31 @@
         Whole, Replayed, Mismatch, NotRun or Unknown
         """
         place = row_key(job.workspace, key)
-        digest = digest_of(job)
+        digest = request_digest(job)
         row: Row | None = None
         refusal = Refusal(f"no backend server of {job.pool} is known here", 1.0)
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             known = self.dispatcher.router(job.pool).choose(
                 job.avoid, kind=job.request_class
             )
             if known is None or job.deadline <= self.clock.monotonic():
                 break
-            claim = self.claim(known, digest)
-            owner = await self.take(place, claim, row)
+            claim = self.new_claim(known, digest)
+            owner = await self.claim_key(place, claim, row)
             if owner is None:
-                return self.untold(job)
+                return self.undecided_outcome(job)
             if owner.value["digest"] != digest:
-                return Mismatch()
+                return KeyMismatch()
             if owner.value["attempt"] == claim.attempt:
-                result = await self.run_claim(place, claim, known, job)
+                result = await self.run_claimed_attempt(place, claim, known, job)
             else:
-                result = await self.inspect(owner, job)
+                result = await self.inspect_claim(owner, job)
             if not isinstance(result, Refusal):
                 return result
             row, refusal = owner, result
-        return await self.conclude(place, job, refusal)
+        return await self.final_outcome(place, job, refusal)
 
-    def untold(self, job: Job) -> NotRun | Unknown:
+    def undecided_outcome(self, job: Job) -> NotRun | Unknown:
         """Return the outcome where the platform cannot say who owns the key.
 
         Nothing was sent now, but only a caller that vouches for a fresh key makes
@@ -154,20 +154,20 @@
             return not_run(Refusal("the platform cannot be asked for the key", 1.0))
         return Unknown("the platform cannot be asked whether this key has run")
 
-    async def conclude(self, place: str, job: Job, refusal: Refusal):
+    async def final_outcome(self, place: str, job: Job, refusal: Refusal):
         """Return the outcome once nothing is left to try."""
         row = await self.tables.read(KEYS_TABLE, place)
         if isinstance(row, Unavailable):
-            return self.untold(job)
+            return self.undecided_outcome(job)
         if isinstance(row, Missing):
             return not_run(refusal)
-        result = await self.inspect(row, job)
+        result = await self.inspect_claim(row, job)
         return not_run(refusal) if isinstance(result, Refusal) else result
 
-    def claim(self, known: Known, digest: str) -> Claim:
+    def new_claim(self, known: Known, digest: str) -> KeyClaim:
         """Return a claim for a new attempt at a sidecar."""
         host, port = known.address
-        return Claim(
+        return KeyClaim(
             digest=digest,
             attempt=new_attempt(mark(known)),
             backend=known.member.backend,
@@ -176,7 +176,9 @@
             time=self.clock.now().isoformat(timespec="seconds"),
         )
 
-    async def take(self, place: str, claim: Claim, row: Row | None) -> Row | None:
+    async def claim_key(
+        self, place: str, claim: KeyClaim, row: Row | None
+    ) -> Row | None:
         """Claim a key, in place of ``row`` where that one was barred.
 
         Returns
@@ -187,7 +189,7 @@
         """
         expected = ABSENT if row is None else row.version
         value = attrs.asdict(claim) | {"state": CLAIMED}
-        for _ in range(SETTLE_TRIES):
+        for _ in range(MAX_CLAIM_TRIES):
             write = Write(KEYS_TABLE, place, value, expected)
             outcome = await self.tables.commit([write])
             if isinstance(outcome, Committed):
@@ -203,17 +205,19 @@
                 return found
         return None
 
-    async def run_claim(self, place: str, claim: Claim, known: Known, job: Job):
+    async def run_claimed_attempt(
+        self, place: str, claim: KeyClaim, known: Known, job: Job
+    ):
         """Run a claimed attempt."""
         job.avoid.add(known.member.name)
         result = await self.dispatcher.attempt(job, known, claim.attempt)
         if isinstance(result, Lost):
             result = await self.dispatcher.settle(job, known, result)
         if isinstance(result, Whole):
-            self.dispatcher.process.spawn(self.keep(place, claim, result))
+            self.dispatcher.process.spawn(self.store_answer(place, claim, result))
         return result
 
-    async def inspect(self, row: Row, job: Job):
+    async def inspect_claim(self, row: Row, job: Job):
         """Tell what became of the attempt that owns a key; bars it where it can.
 
         Returns
@@ -221,7 +225,7 @@
         Replayed, Unknown, or a Refusal where it never ran and never will
         """
         if row.value["state"] == DONE:
-            return await self.replay(row)
+            return await self.replay_answer(row)
         reply = await self.dispatcher.follow(
             parse_address(row.value["address"]),
             row.value["incarnation"],
@@ -231,34 +235,36 @@
         if reply.state == AttemptState.NEVER:
             return Refusal("the attempt before was barred", 0.2)
         if reply.state == AttemptState.DONE:
-            return Replayed(Whole(reply.head, reply.body, row.value["backend"]))
+            return ReplayedAnswer(Whole(reply.head, reply.body, row.value["backend"]))
         if reply.state == AttemptState.RUNNING:
             return Unknown("the request with this key still runs")
-        return await self.last_look(row)
+        return await self.reread_claim(row)
 
-    async def last_look(self, row: Row):
+    async def reread_claim(self, row: Row):
         """Read the row once more: its answer may have been kept meanwhile."""
         found = await self.tables.read(row.table, row.key)
         if isinstance(found, Row) and found.value["state"] == DONE:
-            return await self.replay(found)
+            return await self.replay_answer(found)
         return Unknown("the sidecar that ran the request with this key is gone")
 
-    async def keep(self, place: str, claim: Claim, whole: Whole) -> None:
+    async def store_answer(self, place: str, claim: KeyClaim, whole: Whole) -> None:
         """Keep the answer of a key, trying again while the platform is down."""
         value = attrs.asdict(claim) | {"state": DONE, "status": whole.head.status}
         value["headers"] = [
             [header.name.decode("latin-1"), header.value.decode("latin-1")]
             for header in whole.head.headers
         ]
-        for _ in range(KEEP_TRIES):
-            if await self.try_keep(place, claim, whole, value):
+        for _ in range(MAX_STORE_TRIES):
+            if await self.try_store_answer(place, claim, whole, value):
                 return
-            await self.clock.sleep(KEEP_PAUSE)
+            await self.clock.sleep(STORE_RETRY_S)
         log.warning("Gave up keeping the answer of attempt {}.", claim.attempt)
 
-    async def try_keep(self, place: str, claim: Claim, whole: Whole, value) -> bool:
+    async def try_store_answer(
+        self, place: str, claim: KeyClaim, whole: Whole, value
+    ) -> bool:
         """Keep an answer once; return whether there is nothing left to do."""
-        if len(whole.body) <= INLINE_LIMIT:
+        if len(whole.body) <= MAX_INLINE_BODY_BYTES:
             value["body"] = base64.b64encode(whole.body).decode()
         else:
             name = f"answers/{claim.attempt}"
@@ -276,7 +282,7 @@
         )
         return isinstance(outcome, Committed)
 
-    async def replay(self, row: Row):
+    async def replay_answer(self, row: Row):
         """Return the answer kept in a row."""
         value = row.value
         if "object" in value:
@@ -289,4 +295,6 @@
             Header(name.encode("latin-1"), text.encode("latin-1"))
             for name, text in value["headers"]
         ]
-        return Replayed(Whole(Head(value["status"], headers), body, value["backend"]))
+        return ReplayedAnswer(
+            Whole(Head(value["status"], headers), body, value["backend"])
+        )
--- a/gypsumshift/labels.py
+++ b/gypsumshift/labels.py
@@ -32,7 +32,7 @@
     count: int = 0
     bare: bool = False
 
-    def add(self, tokens: int, version: int | None) -> None:
+    def add_tokens(self, tokens: int, version: int | None) -> None:
         """Take the next tokens with the version reported along with them."""
         if tokens <= 0:
             return
@@ -46,7 +46,7 @@
         else:
             self.spans.append(Span(first, self.count, version))
 
-    def finish(self, after: int | None) -> list[Span] | None:
+    def final_spans(self, after: int | None) -> list[Span] | None:
         """Return the spans; None where any token's version is in doubt.
 
         Parameters
--- a/gypsumshift/operators.py
+++ b/gypsumshift/operators.py
@@ -25,9 +25,9 @@
 from gypsumshift.platforms import Write
 from gypsumshift.poller import LEAVING_PREFIX, WEIGHTS_PREFIX
 from gypsumshift.process import Process
-from gypsumshift.publication import Publisher
-from gypsumshift.revisions import HEADS_TABLE, Accepted
+from gypsumshift.revisions import HEADS_TABLE, AcceptedRevision
 from gypsumshift.settings import operator_token
+from gypsumshift.weightpublisher import WeightPublisher
 
 __all__ = ["Operators", "difference"]
 
@@ -88,9 +88,9 @@
 
     def __init__(self, process: Process):
         self.process = process
-        self.history = process.history
+        self.revision_history = process.revision_history
         self.tables = process.platform.tables
-        self.publisher = Publisher(process)
+        self.publisher = WeightPublisher(process)
         self.token = operator_token(process.settings)
 
     async def serve(self, request: Request) -> Response | None:
@@ -126,7 +126,7 @@
 
     async def revisions(self, request: Request) -> Response:
         """List all accepted revisions, without their declarations."""
-        found = await self.history.all()
+        found = await self.revision_history.read_all()
         if isinstance(found, Unavailable):
             return platform_down(found)
         rows = [attrs.asdict(accepted) for accepted in found]
@@ -136,24 +136,28 @@
 
     async def revision(self, text: str) -> Response:
         """Show one revision; ``newest`` names the newest."""
-        number = await self.history.head() if text == "newest" else text
+        number = (
+            await self.revision_history.read_newest_number()
+            if text == "newest"
+            else text
+        )
         if isinstance(number, Unavailable):
             return platform_down(number)
         if not str(number).isdigit():
             return problem_response(400, "not run", f"not a revision number: {text!r}")
-        found = await self.history.get(int(number))
+        found = await self.revision_history.read_revision(int(number))
         if isinstance(found, Unavailable):
             return platform_down(found)
         if isinstance(found, Missing):
             return problem_response(404, "not run", f"there is no revision {number}")
         return json_response(200, attrs.asdict(found))
 
-    async def newest(self) -> Accepted | Unavailable:
+    async def newest(self) -> AcceptedRevision | Unavailable:
         """Return the newest accepted revision."""
-        number = await self.history.head()
+        number = await self.revision_history.read_newest_number()
         if isinstance(number, Unavailable):
             return number
-        found = await self.history.get(number)
+        found = await self.revision_history.read_revision(number)
         return Unavailable("its row is gone") if isinstance(found, Missing) else found
 
     def read_body(self, request: Request) -> dict | Response:
@@ -193,14 +197,14 @@
         catalog = declarations.parse(value["declarations"], "declarations")
         if isinstance(catalog, Invalid):
             return invalid(catalog)
-        outcome = await self.history.apply(
+        outcome = await self.revision_history.apply(
             base,
             catalog.source,
             str(value.get("author", "")),
             str(value.get("message", "")),
             str(value.get("token") or secrets.token_hex(16)),
         )
-        if isinstance(outcome, Accepted):
+        if isinstance(outcome, AcceptedRevision):
             text = json.dumps(outcome.declarations)
             subject = f"revision-{outcome.number}"
             self.process.recorder.note("accepted", subject, outcome.author)
@@ -214,9 +218,11 @@
 
     async def conflict(self, base: int, outcome: Conflict) -> Response:
         """Answer an apply that another operator's overtook, with that change."""
-        old, new = await asyncio.gather(self.history.get(base), self.newest())
+        old, new = await asyncio.gather(
+            self.revision_history.read_revision(base), self.newest()
+        )
         lines = []
-        if isinstance(old, Accepted) and isinstance(new, Accepted):
+        if isinstance(old, AcceptedRevision) and isinstance(new, AcceptedRevision):
             lines = difference(old.declarations, new.declarations)
         detail = f"planned on revision {base}, but {outcome.detail}"
         return problem_response(409, "not run", detail, difference=lines)
@@ -320,7 +326,7 @@
     async def publish(self, request: Request) -> Response:
         """Publish weights of a pool."""
         pool, version = request.parameter("pool"), request.parameter("version")
-        declared = self.process.in_force.catalog.pools.get(pool)
+        declared = self.process.active_revision.catalog.pools.get(pool)
         if declared is None or declared.kind != "model":
             return problem_response(404, "not run", f"there is no model pool {pool!r}")
         if not version.isdigit() or int(version) < 1:
--- a/gypsumshift/poller.py
+++ b/gypsumshift/poller.py
@@ -4,7 +4,7 @@
 
 from gypsumshift.outcomes import Missing, Unavailable
 from gypsumshift.platforms import Host
-from gypsumshift.revisions import CONFIG_HEAD, HEADS_TABLE
+from gypsumshift.revisions import CONFIG_HEAD_KEY, HEADS_TABLE
 
 __all__ = ["LEAVING_PREFIX", "WEIGHTS_PREFIX", "Poller"]
 
@@ -33,12 +33,12 @@
     async def load_first_revision(self) -> None:
         """Learn a revision to begin with, from the platform."""
         process = self.process
-        while not process.in_force.ready:
-            head = await process.history.head()
+        while not process.active_revision.ready:
+            head = await process.revision_history.read_newest_number()
             if not isinstance(head, Unavailable):
                 self.head_seen = head
                 await self.load_revision(head)
-            if not process.in_force.ready:
+            if not process.active_revision.ready:
                 await process.clock.sleep(STARTUP_RETRY_PERIOD_S)
 
     def may_start_with(self, number: int) -> bool:
@@ -55,9 +55,9 @@
 
     async def load_revision(self, number: int) -> None:
         """Read a revision from the platform and put it in force."""
-        if number <= self.process.in_force.number:
+        if number <= self.process.active_revision.number:
             return
-        accepted = await self.process.history.get(number)
+        accepted = await self.process.revision_history.read_revision(number)
         if isinstance(accepted, (Missing, Unavailable)):
             return
         self.process.adopt(number, json.dumps(accepted.declarations))
@@ -89,7 +89,7 @@
         if isinstance(rows, Unavailable):
             return
         for row in rows:
-            if row.key == CONFIG_HEAD:
+            if row.key == CONFIG_HEAD_KEY:
                 await self.load_revision(row.value["number"])
             elif row.key.startswith(WEIGHTS_PREFIX):
                 pool = row.key.removeprefix(WEIGHTS_PREFIX)
--- a/gypsumshift/process.py
+++ b/gypsumshift/process.py
@@ -28,7 +28,7 @@
 from gypsumshift.metrics import Metrics, scrape
 from gypsumshift.platforms import Platform
 from gypsumshift.poller import Poller
-from gypsumshift.revisions import History, InForce
+from gypsumshift.revisions import ActiveRevision, RevisionHistory
 
 __all__ = ["Process"]
 
@@ -63,8 +63,8 @@
         self.platform = platform or platforms.connect(settings.platform)
         self.recorder = Recorder(settings.name, self.clock)
         self.metrics = Metrics(settings.name, self.figures)
-        self.history = History(self.platform.tables, self.clock)
-        self.in_force = InForce(self.recorder)
+        self.revision_history = RevisionHistory(self.platform.tables, self.clock)
+        self.active_revision = ActiveRevision(self.recorder)
         self.own = self.describe()
         self.view = View(self.own, self.clock)
         self.targets: dict[str, int] = {}
@@ -161,9 +161,9 @@
 
     def adopt(self, number: int, text: str) -> None:
         """Put a revision in force and tell the neighbours at once."""
-        if not self.in_force.ready and not self.poller.may_start_with(number):
+        if not self.active_revision.ready and not self.poller.may_start_with(number):
             return
-        if self.in_force.adopt(number, text):
+        if self.active_revision.activate_if_newer(number, text):
             self.revision_changed()
             self.heartbeats.spread()
 
@@ -207,8 +207,8 @@
         if body.heartbeat is not None:
             answer = Body(heartbeat=self.heartbeats.answer(body.heartbeat))
         elif body.pull_revision is not None:
-            number = self.in_force.number
-            answer = Body(revision=messages.Revision(number, self.in_force.text))
+            number = self.active_revision.number
+            answer = Body(revision=messages.Revision(number, self.active_revision.text))
         elif body.pull_events is not None:
             pull = body.pull_events
             events = self.recorder.select(pull.subject, pull.limit)
@@ -233,7 +233,7 @@
     def figures(self) -> dict[str, float]:
         """Return the figures that `status` and the scrape page show."""
         return {
-            "revision": self.in_force.number,
+            "revision": self.active_revision.number,
             "known_processes": len(self.view.known),
             "links": len(self.links),
             "peer_bytes_sent": self.recorder.bytes_sent,
@@ -245,7 +245,7 @@
         figures = self.figures() | self.metrics.totals
         return messages.Status(
             member=self.own,
-            revision=self.in_force.number,
+            revision=self.active_revision.number,
             load=self.load(),
             figures=[messages.Figure(name, value) for name, value in figures.items()],
         )
@@ -261,7 +261,7 @@
 
     def health(self) -> Response:
         """Answer the balancer: whether new requests are welcome here."""
-        if self.own.leaving or not self.in_force.ready:
+        if self.own.leaving or not self.active_revision.ready:
             reason = "leaving" if self.own.leaving else "no revision yet"
             return problem_response(503, "not run", reason)
         return json_response(200, {"status": "ok"})
--- a/gypsumshift/remote.py
+++ b/gypsumshift/remote.py
@@ -19,17 +19,17 @@
 
 __all__ = ["RemoteHosts", "RemoteObjects", "RemoteTables", "RemoteWeights", "connect"]
 
-READ_TIMEOUT = 2.0
-WRITE_TIMEOUT = 3.0
+READ_TIMEOUT_S = 2.0
+WRITE_TIMEOUT_S = 3.0
 JSON_HEADERS = [("content-type", "application/json")]
 
 
-def quoted(name: str) -> str:
+def quote_segment(name: str) -> str:
     """Return a name as one part of a path."""
     return urllib.parse.quote(name, safe="")
 
 
-class Caller:
+class PlatformClient:
     """Calls one platform over HTTP.
 
     Parameters
@@ -46,7 +46,7 @@
         """Read something; reading has no unknown end."""
         try:
             answer = await self.fetcher.fetch(
-                self.address, "GET", target, timeout=READ_TIMEOUT
+                self.address, "GET", target, timeout=READ_TIMEOUT_S
             )
         except FetchError as error:
             return Unavailable(str(error))
@@ -65,14 +65,14 @@
         """Write something; an answer that is lost leaves the outcome unknown."""
         try:
             answer = await self.fetcher.fetch(
-                self.address, method, target, JSON_HEADERS, body, WRITE_TIMEOUT
+                self.address, method, target, JSON_HEADERS, body, WRITE_TIMEOUT_S
             )
         except FetchError as error:
             return Unknown(str(error)) if error.sent else Unavailable(str(error))
-        return written(answer)
+        return write_outcome(answer)
 
 
-def written(answer: FetchedResponse) -> Written:
+def write_outcome(answer: FetchedResponse) -> Written:
     """Return the outcome that a status says."""
     if answer.status in (200, 201, 204):
         return Committed()
@@ -86,19 +86,19 @@
 class RemoteTables(platforms.Tables):
     """Table service over HTTP."""
 
-    def __init__(self, caller: Caller):
-        self.caller = caller
+    def __init__(self, client: PlatformClient):
+        self.client = client
 
     async def read(self, table, key):
         """Return one row."""
-        target = f"/tables/{quoted(table)}/{quoted(key)}"
-        value = await self.caller.read_json(target)
+        target = f"/tables/{quote_segment(table)}/{quote_segment(key)}"
+        value = await self.client.read_json(target)
         return Row(**value) if isinstance(value, dict) else value
 
     async def scan(self, table, prefix):
         """Return the rows whose keys begin with ``prefix``, in the keys' order."""
-        target = f"/tables/{quoted(table)}?prefix={quoted(prefix)}"
-        value = await self.caller.read_json(target)
+        target = f"/tables/{quote_segment(table)}?prefix={quote_segment(prefix)}"
+        value = await self.client.read_json(target)
         if isinstance(value, Missing):
             return []
         return [Row(**row) for row in value] if isinstance(value, list) else value
@@ -106,62 +106,64 @@
     async def commit(self, writes):
         """Apply all writes, or none where a condition does not hold."""
         body = json.dumps([attrs.asdict(write) for write in writes]).encode()
-        return await self.caller.write("POST", "/tables", body)
+        return await self.client.write("POST", "/tables", body)
 
 
 class RemoteObjects(platforms.Objects):
     """Object store over HTTP."""
 
-    def __init__(self, caller: Caller):
-        self.caller = caller
+    def __init__(self, client: PlatformClient):
+        self.client = client
 
     async def put(self, name, data):
         """Store an object once; a conflict says that the name is taken."""
-        return await self.caller.write("PUT", f"/objects/{quoted(name)}", data)
+        return await self.client.write("PUT", f"/objects/{quote_segment(name)}", data)
 
     async def get(self, name):
         """Return an object's bytes."""
-        return await self.caller.read(f"/objects/{quoted(name)}")
+        return await self.client.read(f"/objects/{quote_segment(name)}")
 
     async def delete(self, name):
         """Remove an object; removing what is not there succeeds."""
-        return await self.caller.write("DELETE", f"/objects/{quoted(name)}")
+        return await self.client.write("DELETE", f"/objects/{quote_segment(name)}")
 
 
 class RemoteWeights(platforms.Weights):
     """Weight store over HTTP."""
 
-    def __init__(self, caller: Caller):
-        self.caller = caller
+    def __init__(self, client: PlatformClient):
+        self.client = client
 
     async def publish(self, pool, version, data):
         """Store the weights of one version once."""
-        return await self.caller.write(
-            "PUT", f"/weights/{quoted(pool)}/{version}", data
+        return await self.client.write(
+            "PUT", f"/weights/{quote_segment(pool)}/{version}", data
         )
 
 
 class RemoteHosts(platforms.Hosts):
     """Host list over HTTP."""
 
-    def __init__(self, caller: Caller):
-        self.caller = caller
+    def __init__(self, client: PlatformClient):
+        self.client = client
 
     async def announce(self, host):
         """Put this process on the list."""
         body = json.dumps(attrs.asdict(host)).encode()
-        return await self.caller.write("PUT", f"/hosts/{quoted(host.name)}", body)
+        return await self.client.write(
+            "PUT", f"/hosts/{quote_segment(host.name)}", body
+        )
 
     async def list(self):
         """Return the list, which may be old."""
-        value = await self.caller.read_json("/hosts")
+        value = await self.client.read_json("/hosts")
         return [Host(**host) for host in value] if isinstance(value, list) else value
 
 
 def connect(url: str) -> platforms.Platform:
     """Return the platform behind an ``http:`` URL."""
     parts = urllib.parse.urlsplit(url)
-    caller = Caller((parts.hostname, parts.port or 80))
+    caller = PlatformClient((parts.hostname, parts.port or 80))
     return platforms.Platform(
         RemoteTables(caller),
         RemoteObjects(caller),
--- a/gypsumshift/revisions.py
+++ b/gypsumshift/revisions.py
@@ -19,18 +19,18 @@
 )
 from gypsumshift.platforms import ABSENT, Tables, Write
 
-__all__ = ["Accepted", "History", "InForce"]
+__all__ = ["AcceptedRevision", "RevisionHistory", "ActiveRevision"]
 
 HISTORY_TABLE = "revisions"
 HEADS_TABLE = "heads"
-CONFIG_HEAD = "config"
-SETTLE_TRIES = 3
+CONFIG_HEAD_KEY = "config"
+MAX_COMMIT_TRIES = 3
 
 log = logs.logger("config")
 
 
 @attrs.frozen
-class Accepted:
+class AcceptedRevision:
     """One accepted revision.
 
     Attributes
@@ -53,12 +53,12 @@
     declarations: dict = attrs.field(factory=dict)
 
 
-def key_of(number: int) -> str:
+def revision_key(number: int) -> str:
     """Return the key of a revision's row; keys sort as their numbers do."""
     return f"{number:012d}"
 
 
-class History:
+class RevisionHistory:
     """The history of accepted revisions in the table service.
 
     Parameters
@@ -71,30 +71,36 @@
         self.tables = tables
         self.clock = clock
 
-    async def head(self) -> int | Unavailable:
+    async def read_newest_number(self) -> int | Unavailable:
         """Return the newest accepted number."""
-        row = await self.tables.read(HEADS_TABLE, CONFIG_HEAD)
+        row = await self.tables.read(HEADS_TABLE, CONFIG_HEAD_KEY)
         if isinstance(row, Unavailable):
             return row
         return 0 if isinstance(row, Missing) else row.value["number"]
 
-    async def get(self, number: int) -> Accepted | Missing | Unavailable:
+    async def read_revision(
+        self, number: int
+    ) -> AcceptedRevision | Missing | Unavailable:
         """Return one revision."""
         if number == 0:
-            return Accepted(0)
-        row = await self.tables.read(HISTORY_TABLE, key_of(number))
-        return row if isinstance(row, (Missing, Unavailable)) else Accepted(**row.value)
+            return AcceptedRevision(0)
+        row = await self.tables.read(HISTORY_TABLE, revision_key(number))
+        return (
+            row
+            if isinstance(row, (Missing, Unavailable))
+            else AcceptedRevision(**row.value)
+        )
 
-    async def all(self) -> list[Accepted] | Unavailable:
+    async def read_all(self) -> list[AcceptedRevision] | Unavailable:
         """Return all revisions, oldest first."""
         rows = await self.tables.scan(HISTORY_TABLE, "")
         if isinstance(rows, Unavailable):
             return rows
-        return [Accepted(**row.value) for row in rows]
+        return [AcceptedRevision(**row.value) for row in rows]
 
     async def apply(
         self, base: int, source: dict, author: str, message: str, token: str
-    ) -> Accepted | Conflict | Unavailable | Unknown:
+    ) -> AcceptedRevision | Conflict | Unavailable | Unknown:
         """Accept declarations on top of revision ``base``.
 
         Parameters
@@ -107,7 +113,7 @@
         token : str
             Unique to this apply; the same token twice is accepted once.
         """
-        accepted = Accepted(
+        accepted = AcceptedRevision(
             number=base + 1,
             author=author,
             message=message,
@@ -115,20 +121,20 @@
             token=token,
             declarations=source,
         )
-        for _ in range(SETTLE_TRIES):
-            outcome = await self.commit(accepted)
+        for _ in range(MAX_COMMIT_TRIES):
+            outcome = await self.commit_revision(accepted)
             if isinstance(outcome, Committed):
                 return accepted
             if isinstance(outcome, Unavailable):
                 return outcome
-            settled = await self.settle(accepted, outcome)
+            settled = await self.resolve_uncertain(accepted, outcome)
             if settled is not None:
                 return settled
         return Unknown("the platform's answer was lost; run the same apply again")
 
-    async def commit(self, accepted: Accepted):
+    async def commit_revision(self, accepted: AcceptedRevision):
         """Write a revision and move the head, in one transaction."""
-        head = await self.tables.read(HEADS_TABLE, CONFIG_HEAD)
+        head = await self.tables.read(HEADS_TABLE, CONFIG_HEAD_KEY)
         if isinstance(head, Unavailable):
             return head
         number = 0 if isinstance(head, Missing) else head.value["number"]
@@ -139,14 +145,14 @@
         row = attrs.asdict(accepted)
         return await self.tables.commit(
             [
-                Write(HEADS_TABLE, CONFIG_HEAD, value, version),
-                Write(HISTORY_TABLE, key_of(accepted.number), row, ABSENT),
+                Write(HEADS_TABLE, CONFIG_HEAD_KEY, value, version),
+                Write(HISTORY_TABLE, revision_key(accepted.number), row, ABSENT),
             ]
         )
 
-    async def settle(self, accepted: Accepted, outcome):
+    async def resolve_uncertain(self, accepted: AcceptedRevision, outcome):
         """Tell by the token whose revision took the number; None to try again."""
-        found = await self.get(accepted.number)
+        found = await self.read_revision(accepted.number)
         if isinstance(found, Unavailable):
             if isinstance(outcome, Conflict):
                 return outcome
@@ -158,7 +164,7 @@
         return Conflict(f"revision {found.number} by {found.author}: {found.message}")
 
 
-class InForce:
+class ActiveRevision:
     """The revision in force in this process; only ever moves up.
 
     Parameters
@@ -178,11 +184,11 @@
         """Whether any revision is in force, be it the empty one."""
         return self.number >= 0
 
-    def adopt(self, number: int, text: str) -> bool:
+    def activate_if_newer(self, number: int, text: str) -> bool:
         """Put a revision in force where it is newer than the present one."""
         if number <= self.number:
             return False
-        catalog = Catalog() if number == 0 else self.parse(number, text)
+        catalog = Catalog() if number == 0 else self.parse_catalog(number, text)
         if catalog is None:
             return False
         self.number, self.text, self.catalog = number, text, catalog
@@ -192,7 +198,7 @@
         self.changed = asyncio.Event()
         return True
 
-    def parse(self, number: int, text: str) -> Catalog | None:
+    def parse_catalog(self, number: int, text: str) -> Catalog | None:
         """Return the catalog of an accepted revision; None where it is not readable."""
         catalog = declarations.parse(json.loads(text), f"revision {number}")
         if isinstance(catalog, Invalid):
--- a/gypsumshift/sampling.py
+++ b/gypsumshift/sampling.py
@@ -26,19 +26,19 @@
 
 __all__ = ["Sampler"]
 
-SAMPLE_TIMEOUT = 600.0
-RETRY_LEAST = 0.05
-RETRY_MOST = 2.0
-MOST_REJECTIONS = 3
+SAMPLE_TIMEOUT_S = 600.0
+MIN_RETRY_DELAY_S = 0.05
+MAX_RETRY_DELAY_S = 2.0
+MAX_REJECTIONS = 3
 # A sample that is held back for longer than this has ended engines in its trials, too.
-HOPELESS = datetime.timedelta(minutes=5)
-MOST_MOVES = 2
-STALL = 2.0
-CRAWL_FACTOR = 3.0
-CRAWL_TOKENS = 8
-RATES_KEPT = 64
-RATES_NEEDED = 8
-COMPLETIONS = "/v1/completions"
+MAX_HOLD_BACK = datetime.timedelta(minutes=5)
+MAX_MIGRATIONS = 2
+STALL_TIMEOUT_S = 2.0
+SLOW_FACTOR = 3.0
+MIN_PACE_TOKENS = 8
+PACE_WINDOW = 64
+MIN_PACES = 8
+COMPLETIONS_PATH = "/v1/completions"
 
 log = logs.logger("sampling")
 
@@ -47,12 +47,12 @@
     """The engine sent something that is no event of a completion."""
 
 
-class TooSlow(Exception):
+class StreamTooSlow(Exception):
     """The engine stalls, or is much slower than the others."""
 
 
 @attrs.frozen
-class Event:
+class CompletionEvent:
     """One event of a completion stream.
 
     Attributes
@@ -71,7 +71,7 @@
 
 
 @attrs.define
-class Partial:
+class PartialSample:
     """A sample in the making.
 
     Attributes
@@ -94,24 +94,24 @@
     finish_reason: str = ""
     streams: int = 0
 
-    def add(self, event: Event) -> None:
+    def add_event(self, event: CompletionEvent) -> None:
         """Take one event."""
         self.prompt_ids = self.prompt_ids or event.prompt_ids
         self.text.append(event.text)
         self.token_ids += event.token_ids
-        self.labeller.add(len(event.token_ids), event.version)
+        self.labeller.add_tokens(len(event.token_ids), event.version)
         self.finish_reason = event.finish_reason or self.finish_reason
 
     @property
-    def resumable(self) -> bool:
+    def is_resumable(self) -> bool:
         """Whether another engine can go on with it, all tokens labelled."""
         return bool(self.prompt_ids) and not self.labeller.bare
 
-    def spans(self, told: list[Span]) -> list[Span]:
+    def spans(self, reported: list[Span]) -> list[Span]:
         """Return the labels; ``told`` by the sidecar where events carry none."""
         if not self.labeller.bare:
             return self.labeller.spans
-        return told if self.streams == 1 else []
+        return reported if self.streams == 1 else []
 
 
 class Sampler:
@@ -131,9 +131,9 @@
         self.clock = process.clock
         self.name = name
         self.trainer = Trainer(name=name, workspace="", pool="")
-        self.floor = 0
-        self.rates: collections.deque[float] = collections.deque(maxlen=RATES_KEPT)
-        self.moved = 0
+        self.min_version = 0
+        self.paces: collections.deque[float] = collections.deque(maxlen=PACE_WINDOW)
+        self.migrated = 0
 
     def count_wasted(self, tokens: int, why: str) -> None:
         """Count tokens that were generated and thrown away."""
@@ -141,34 +141,40 @@
             metrics = self.process.metrics
             metrics.count("tokens_wasted", tokens, trainer=self.name, why=why)
 
-    async def sample(self, group: Group, number: int, urgency: int) -> Sample | None:
+    async def generate_sample(
+        self, group: Group, number: int, urgency: int
+    ) -> Sample | None:
         """Generate one whole and labelled sample.
 
         None where the engine rejects it, or engines end under it.
         """
-        partial, avoid, rejections = Partial(), set(), 0
-        while rejections < MOST_REJECTIONS:
-            job = self.job(group, partial, urgency, avoid)
+        partial, avoid, rejections = PartialSample(), set(), 0
+        while rejections < MAX_REJECTIONS:
+            job = self.make_job(group, partial, urgency, avoid)
             result = await self.dispatcher.send(job)
-            avoid, wait = set(), RETRY_LEAST
+            avoid, wait = set(), MIN_RETRY_DELAY_S
             if isinstance(result, Streamed):
-                partial = await self.take(result, partial, avoid)
-                sample = self.finished(group, number, partial, result)
+                partial = await self.read_stream(result, partial, avoid)
+                sample = self.make_sample(group, number, partial, result)
                 if sample is not None:
                     return sample
                 if partial.finish_reason:
                     self.count_wasted(len(partial.token_ids), "unlabelled")
-                    partial = Partial()
-            elif isinstance(result, HeldBack) and result.retry_after > HOPELESS:
+                    partial = PartialSample()
+            elif isinstance(result, HeldBack) and result.retry_after > MAX_HOLD_BACK:
                 return None
             elif isinstance(result, NotRun):
-                wait = min(max(result.retry_after.total_seconds(), wait), RETRY_MOST)
+                wait = min(
+                    max(result.retry_after.total_seconds(), wait), MAX_RETRY_DELAY_S
+                )
             elif isinstance(result, Whole) and 400 <= result.head.status < 500:
                 rejections += 1
             await self.clock.sleep(wait)
         return None
 
-    def job(self, group: Group, partial: Partial, urgency: int, avoid: set) -> Job:
+    def make_job(
+        self, group: Group, partial: PartialSample, urgency: int, avoid: set
+    ) -> Job:
         """Return the request for a sample, or for the rest of it."""
         resumed = partial.prompt_ids + partial.token_ids
         body = {
@@ -183,12 +189,12 @@
             workspace=f"trainer:{self.name}",
             pool=self.trainer.pool,
             method="POST",
-            target=COMPLETIONS,
+            target=COMPLETIONS_PATH,
             headers=[("content-type", "application/json")],
             body=json.dumps(body).encode(),
-            deadline=self.clock.monotonic() + SAMPLE_TIMEOUT,
+            deadline=self.clock.monotonic() + SAMPLE_TIMEOUT_S,
             request_class=RequestClass.SAMPLE,
-            oldest_version=max(0, self.floor),
+            oldest_version=max(0, self.min_version),
             urgency=urgency,
             share=self.trainer.share,
             affinity=group.prompt,
@@ -197,14 +203,16 @@
             identity=group.prompt,
         )
 
-    async def take(self, streamed: Streamed, partial: Partial, avoid: set) -> Partial:
+    async def read_stream(
+        self, streamed: Streamed, partial: PartialSample, avoid: set
+    ) -> PartialSample:
         """Read a stream; return what there is, to finish or to resume."""
         partial.streams += 1
         before, began = len(partial.token_ids), self.clock.monotonic()
         reason = ""
         try:
-            async for event in self.events(streamed):
-                partial.add(event)
+            async for event in self.iter_events(streamed):
+                partial.add_event(event)
                 if self.is_stale(partial):
                     reason = "stale"
                     break
@@ -212,65 +220,67 @@
         except (LinkError, UnreadableEvent) as error:
             reason = "broken"
             log.info("A sample of {} broke: {}.", self.name, error)
-        except TooSlow:
+        except StreamTooSlow:
             reason = "slow"
-            self.moved += 1
+            self.migrated += 1
             avoid.add(streamed.sidecar)
         finally:
             await streamed.chunks.aclose()
         if not reason:
-            self.note_rate(len(partial.token_ids) - before, began)
-        elif reason == "stale" or not partial.resumable:
+            self.record_pace(len(partial.token_ids) - before, began)
+        elif reason == "stale" or not partial.is_resumable:
             self.count_wasted(len(partial.token_ids), reason)
-            return Partial()
+            return PartialSample()
         return partial
 
-    async def events(self, streamed: Streamed):
+    async def iter_events(self, streamed: Streamed):
         """Yield the events of a stream; raises `TooSlow` where it stalls."""
-        pool = self.process.in_force.catalog.pools.get(self.trainer.pool)
+        pool = self.process.active_revision.catalog.pools.get(self.trainer.pool)
         dialect = DIALECTS[pool.dialect if pool else "plain"]
         rest = b""
         chunks = aiter(streamed.chunks)
         while True:
             try:
-                async with asyncio.timeout(STALL if self.may_move() else None):
+                async with asyncio.timeout(
+                    STALL_TIMEOUT_S if self.may_migrate() else None
+                ):
                     data = await anext(chunks)
             except StopAsyncIteration:
                 return
             except TimeoutError as error:
-                raise TooSlow from error
+                raise StreamTooSlow from error
             *lines, rest = (rest + data).split(b"\n")
-            for event in read_events(lines, dialect):
+            for event in parse_events(lines, dialect):
                 yield event
 
-    def may_move(self) -> bool:
+    def may_migrate(self) -> bool:
         """Tell whether a stream that stalls may move to another backend server."""
         others = len(self.process.view.sidecars(self.trainer.pool)) > 1
         return others and self.trainer.move_stragglers
 
-    def is_stale(self, partial: Partial) -> bool:
+    def is_stale(self, partial: PartialSample) -> bool:
         """Tell whether a sample has become too old already."""
         spans = partial.labeller.spans
-        return bool(spans) and min(span.version for span in spans) < self.floor
+        return bool(spans) and min(span.version for span in spans) < self.min_version
 
-    def check_speed(self, partial: Partial, before: int, began: float) -> None:
+    def check_speed(self, partial: PartialSample, before: int, began: float) -> None:
         """Raise `TooSlow` where the stream crawls beside what others do."""
         tokens = len(partial.token_ids) - before
-        stays = partial.streams > MOST_MOVES or not partial.resumable
+        stays = partial.streams > MAX_MIGRATIONS or not partial.is_resumable
         stays |= not self.trainer.move_stragglers
-        if stays or tokens < CRAWL_TOKENS or len(self.rates) < RATES_NEEDED:
+        if stays or tokens < MIN_PACE_TOKENS or len(self.paces) < MIN_PACES:
             return
-        usual = sorted(self.rates)[len(self.rates) // 2]
-        if (self.clock.monotonic() - began) / tokens > CRAWL_FACTOR * usual:
-            raise TooSlow
+        usual = sorted(self.paces)[len(self.paces) // 2]
+        if (self.clock.monotonic() - began) / tokens > SLOW_FACTOR * usual:
+            raise StreamTooSlow
 
-    def note_rate(self, tokens: int, began: float) -> None:
+    def record_pace(self, tokens: int, began: float) -> None:
         """Note the time per token of a stream that ended well."""
-        if tokens >= CRAWL_TOKENS:
-            self.rates.append((self.clock.monotonic() - began) / tokens)
+        if tokens >= MIN_PACE_TOKENS:
+            self.paces.append((self.clock.monotonic() - began) / tokens)
 
-    def finished(
-        self, group: Group, number: int, partial: Partial, streamed: Streamed
+    def make_sample(
+        self, group: Group, number: int, partial: PartialSample, streamed: Streamed
     ) -> Sample | None:
         """Return a sample that is whole and labelled."""
         spans = partial.spans(streamed.spans)
@@ -288,22 +298,22 @@
         )
 
 
-def read_events(lines: list[bytes], dialect: Dialect) -> list[Event]:
+def parse_events(lines: list[bytes], dialect: Dialect) -> list[CompletionEvent]:
     """Return the events in some lines of a completion stream."""
     events = []
     for line in lines:
         data = line.removeprefix(b"data:").strip()
         if line.startswith(b"data:") and data != b"[DONE]":
-            events.append(read_event(data, dialect))
+            events.append(parse_event(data, dialect))
     return events
 
 
-def read_event(data: bytes, dialect: Dialect) -> Event:
+def parse_event(data: bytes, dialect: Dialect) -> CompletionEvent:
     """Return one event of a completion stream."""
     try:
         value = json.loads(data)
         choice = (value.get("choices") or [{}])[0]
-        return Event(
+        return CompletionEvent(
             text=choice.get("text") or "",
             token_ids=choice.get("token_ids") or [],
             prompt_ids=choice.get("prompt_token_ids") or [],
--- a/gypsumshift/sidecar.py
+++ b/gypsumshift/sidecar.py
@@ -2,6 +2,7 @@
 
 from gypsumshift import logs
 from gypsumshift.addresses import parse_address
+from gypsumshift.attemptrunner import AttemptRunner
 from gypsumshift.backend import Backend, Fence
 from gypsumshift.generated import messages
 from gypsumshift.generated.declarations import Pool
@@ -12,8 +13,7 @@
 from gypsumshift.poller import LEAVING_PREFIX
 from gypsumshift.process import Process
 from gypsumshift.revisions import HEADS_TABLE
-from gypsumshift.rollout import Rollout
-from gypsumshift.runs import Runs
+from gypsumshift.weightrollout import WeightRollout
 
 __all__ = ["Sidecar"]
 
@@ -43,18 +43,20 @@
         self.backend = Backend(
             address, undeclared, self.fetcher, self.recorder, settings.backend
         )
-        self.runs = Runs(self, self.backend, self.fetcher)
+        self.attempt_runner = AttemptRunner(self, self.backend, self.fetcher)
         owner = f"{self.own.name}/{self.own.incarnation}"
         tables = self.platform.tables
         self.fence = Fence(tables, settings.backend, owner, self.clock)
-        self.rollout = Rollout(self, self.backend, self.fence, self.runs)
+        self.weight_rollout = WeightRollout(
+            self, self.backend, self.fence, self.attempt_runner
+        )
 
     async def start(self) -> None:
         """Listen and run the tasks."""
         await super().start()
         self.spawn(self.hold_fence())
         self.spawn(self.watch_backend())
-        self.spawn(self.rollout.run())
+        self.spawn(self.weight_rollout.run())
 
     async def stop(self) -> None:
         """Stop at once."""
@@ -65,14 +67,14 @@
 
     def revision_changed(self) -> None:
         """Take the declaration of its pool."""
-        pool = self.in_force.catalog.pools.get(self.settings.pool)
+        pool = self.active_revision.catalog.pools.get(self.settings.pool)
         if pool is not None and pool != self.backend.pool:
             self.backend.pool = pool
-            self.runs.declare(pool)
+            self.attempt_runner.update_pool(pool)
 
     def target_changed(self):
         """Have the rollout look at the new version."""
-        self.rollout.wake.set()
+        self.weight_rollout.wake.set()
 
     def correspondents(self):
         """Return a few entries; the seeds where none is known."""
@@ -88,7 +90,7 @@
 
     def load(self) -> messages.Load:
         """Return the load of the backend server."""
-        load = self.runs.load()
+        load = self.attempt_runner.current_load()
         self.own.version = load.version
         return load
 
@@ -100,10 +102,10 @@
             "queued": load.queued,
             "limit": load.limit,
             "wait_ms": load.wait_ms,
-            "refused": self.runs.admission.refused,
+            "refused": self.attempt_runner.admission.refused,
             "weight_version": load.version,
-            "target_version": self.rollout.target,
-            "rollout_wave": self.rollout.wave,
+            "target_version": self.weight_rollout.target,
+            "rollout_wave": self.weight_rollout.wave,
             "swapping": int(load.swapping),
             "failed_swaps": self.backend.failed_swaps,
             "fence": self.own.fence,
@@ -140,7 +142,7 @@
         """Take no new work and finish what runs, within ``deadline`` seconds."""
         self.leave("drain ordered")
         end = self.clock.monotonic() + (deadline or DEFAULT_DEADLINE)
-        while self.runs.running and self.clock.monotonic() < end:
+        while self.attempt_runner.running and self.clock.monotonic() < end:
             await self.clock.sleep(DRAIN_PERIOD)
 
     # Requests
@@ -148,14 +150,16 @@
     async def serve(self, session, exchange, body):
         """Answer one question of a peer."""
         if body.start is not None:
-            self.runs.accept(session, exchange, body.start)
+            self.attempt_runner.accept_attempt(session, exchange, body.start)
         elif body.cancel is not None:
-            self.runs.cancel(body.cancel.attempt)
+            self.attempt_runner.cancel_attempt(body.cancel.attempt)
         elif body.bar is not None:
-            await session.reply(exchange, Body(bar_reply=self.runs.bar(body.bar)))
+            await session.reply(
+                exchange, Body(bar_reply=self.attempt_runner.bar_attempt(body.bar))
+            )
         else:
             await super().serve(session, exchange, body)
 
     def session_ended(self, session):
         """Give up what a lost entry can no longer receive."""
-        self.runs.session_ended(session)
+        self.attempt_runner.cancel_session_attempts(session)
--- a/gypsumshift/trainers.py
+++ b/gypsumshift/trainerapi.py
@@ -7,10 +7,8 @@
 
 from gypsumshift import documents
 from gypsumshift.generated.declarations import Trainer
-from gypsumshift.generation import Generator
 from gypsumshift.groups import Group, Step
 from gypsumshift.httpserver import Request, Response, json_response, problem_response
-from gypsumshift.ledger import Ledger
 from gypsumshift.outcomes import (
     Committed,
     Conflict,
@@ -19,19 +17,21 @@
     Unknown,
 )
 from gypsumshift.process import Process
-from gypsumshift.publication import Publisher
+from gypsumshift.trainerdriver import DriverManager
+from gypsumshift.trainerstore import TrainerStore
+from gypsumshift.weightpublisher import WeightPublisher
 
-__all__ = ["Trainers"]
+__all__ = ["TrainerApi"]
 
-GROUPS_PER_SUBMIT = 4096
-WAIT_DEFAULT = 20.0
-WAIT_MOST = 60.0
-SEAL_PERIOD = 1.0
-RETRY_AFTER = 1.0
+MAX_GROUPS_PER_REQUEST = 4096
+DEFAULT_WAIT_S = 20.0
+MAX_WAIT_S = 60.0
+SEAL_PERIOD_S = 1.0
+RETRY_AFTER_S = 1.0
 GROUP_SCHEMA = {
     "type": "array",
-    "maxItems": GROUPS_PER_SUBMIT,
-    "description": f"a list of at most {GROUPS_PER_SUBMIT} groups",
+    "maxItems": MAX_GROUPS_PER_REQUEST,
+    "description": f"a list of at most {MAX_GROUPS_PER_REQUEST} groups",
     "items": {
         "type": "object",
         "additionalProperties": False,
@@ -71,7 +71,7 @@
 }
 
 
-class Trainers:
+class TrainerApi:
     """Answers trainers; any entry can, at any time.
 
     Parameters
@@ -80,16 +80,18 @@
     generator : Generator
     """
 
-    def __init__(self, process: Process, generator: Generator):
+    def __init__(self, process: Process, driver_manager: DriverManager):
         self.process = process
-        self.generator = generator
+        self.driver_manager = driver_manager
         self.clock = process.clock
         self.platform = process.platform
-        self.publisher = Publisher(process)
-        self.idle: dict[str, float] = {}
-        self.staleness: dict[str, float] = {}
+        self.publisher = WeightPublisher(process)
+        self.idle_seconds: dict[str, float] = {}
+        self.mean_staleness: dict[str, float] = {}
 
-    async def serve(self, request: Request, workspace: str, rest: str) -> Response:
+    async def handle_request(
+        self, request: Request, workspace: str, rest: str
+    ) -> Response:
         """Answer one request of a trainer.
 
         Parameters
@@ -100,25 +102,25 @@
             Path behind ``/trainers/``.
         """
         name, _, what = rest.partition("/")
-        trainer = self.process.in_force.catalog.trainers.get(name)
+        trainer = self.process.active_revision.catalog.trainers.get(name)
         if trainer is None or trainer.workspace != workspace:
             return problem_response(
                 404, "not run", f"{workspace} has no trainer {name!r}"
             )
         kind, _, argument = what.partition("/")
         if kind == "groups" and request.method == "POST" and not argument:
-            return await self.submit(trainer, request)
+            return await self.submit_groups(trainer, request)
         if kind == "steps" and request.method == "GET" and argument.isdigit():
-            return await self.pull(trainer, int(argument), request)
+            return await self.pull_step(trainer, int(argument), request)
         if kind == "weights" and request.method == "PUT" and argument.isdigit():
-            return await self.publish(trainer, int(argument), request)
+            return await self.publish_weights(trainer, int(argument), request)
         if not kind and request.method == "GET":
-            return await self.show(trainer)
+            return await self.show_state(trainer)
         return problem_response(
             404, "not run", f"a trainer has no {request.method} {what!r}"
         )
 
-    async def submit(self, trainer: Trainer, request: Request) -> Response:
+    async def submit_groups(self, trainer: Trainer, request: Request) -> Response:
         """Accept groups, each once per id."""
         try:
             value = json.loads(request.body)
@@ -128,45 +130,51 @@
         if problems:
             return problem_response(422, "not run", str(problems[0]))
         groups = documents.build(value, list[Group])
-        outcome = await Ledger(self.platform, trainer.name).submit(groups)
+        outcome = await TrainerStore(self.platform, trainer.name).accept_groups(groups)
         if isinstance(outcome, (Unavailable, Unknown)):
-            return unsure(outcome)
+            return retry_response(outcome)
         self.process.recorder.note("groups", trainer.name, f"{outcome} accepted")
         return json_response(202, {"accepted": outcome, "known": len(groups) - outcome})
 
-    async def pull(self, trainer: Trainer, number: int, request: Request) -> Response:
+    async def pull_step(
+        self, trainer: Trainer, number: int, request: Request
+    ) -> Response:
         """Deliver a step: the same number always gives the same samples."""
         version = request.parameter("version", "0")
-        wait = request.parameter("wait", str(WAIT_DEFAULT))
-        if not version.isdigit() or not is_seconds(wait):
+        wait = request.parameter("wait", str(DEFAULT_WAIT_S))
+        if not version.isdigit() or not is_duration(wait):
             detail = "version takes a whole number, wait takes seconds"
             return problem_response(400, "not run", detail)
         if number < 1:
             return problem_response(404, "not run", "steps count from 1")
         began = self.clock.monotonic()
-        ledger = Ledger(self.platform, trainer.name)
-        trainee = await ledger.want(number, int(version))
+        ledger = TrainerStore(self.platform, trainer.name)
+        trainee = await ledger.request_step(number, int(version))
         if isinstance(trainee, Conflict):
             return problem_response(409, "not run", trainee.detail)
         if isinstance(trainee, Unavailable):
-            return unsure(trainee)
-        self.generator.nudge(trainer.name)
-        deadline = began + min(float(wait), WAIT_MOST)
-        step = await self.await_step(ledger, trainer, number, deadline)
+            return retry_response(trainee)
+        self.driver_manager.wake_driver(trainer.name)
+        deadline = began + min(float(wait), MAX_WAIT_S)
+        step = await self.wait_for_step(ledger, trainer, number, deadline)
         if isinstance(step, Step):
-            return await self.deliver(ledger, trainer, step, began)
+            return await self.step_response(ledger, trainer, step, began)
         if number <= trainee.sealed and isinstance(step, Missing):
             return problem_response(410, "not run", f"step {number} is no longer kept")
         detail = f"step {number} is not complete yet"
-        return problem_response(503, "not run", detail, retry_after=RETRY_AFTER)
+        return problem_response(503, "not run", detail, retry_after=RETRY_AFTER_S)
 
-    async def await_step(self, ledger, trainer: Trainer, number: int, deadline: float):
+    async def wait_for_step(
+        self, ledger, trainer: Trainer, number: int, deadline: float
+    ):
         """Return a step, sealing it as soon as enough groups are ready."""
         while True:
-            step = await ledger.step(number)
+            step = await ledger.read_step(number)
             if isinstance(step, Step):
                 return step
-            sealed = await ledger.seal(trainer.groups_per_step, trainer.staleness_bound)
+            sealed = await ledger.seal_step(
+                trainer.groups_per_step, trainer.staleness_bound
+            )
             if isinstance(sealed, Step) and sealed.number == number:
                 subject = f"{trainer.name}/{number}"
                 self.process.recorder.note("sealed", subject, f"for {sealed.version}")
@@ -176,24 +184,28 @@
             left = deadline - self.clock.monotonic()
             if left <= 0:
                 return sealed
-            await self.generator.await_sealable(trainer.name, min(left, SEAL_PERIOD))
+            await self.driver_manager.wait_until_sealable(
+                trainer.name, min(left, SEAL_PERIOD_S)
+            )
 
-    async def deliver(self, ledger, trainer: Trainer, step: Step, began) -> Response:
+    async def step_response(
+        self, ledger, trainer: Trainer, step: Step, began
+    ) -> Response:
         """Return a step's samples."""
-        samples = await ledger.samples(step)
+        samples = await ledger.read_samples(step)
         if isinstance(samples, Missing):
             return problem_response(
                 410, "not run", f"step {step.number} is no longer kept"
             )
         if isinstance(samples, Unavailable):
-            return unsure(samples)
+            return retry_response(samples)
         idle = self.clock.monotonic() - began
         lag = [step.version - sample.oldest for sample in samples]
-        self.idle[trainer.name] = idle
-        self.staleness[trainer.name] = sum(lag) / len(lag)
+        self.idle_seconds[trainer.name] = idle
+        self.mean_staleness[trainer.name] = sum(lag) / len(lag)
         self.process.metrics.record_duration("trainer_idle", idle, trainer=trainer.name)
         self.process.recorder.note("delivered", f"{trainer.name}/{step.number}")
-        self.process.spawn(ledger.sweep(step.number - 1))
+        self.process.spawn(ledger.remove_old_step(step.number - 1))
         return json_response(
             200,
             {
@@ -205,7 +217,9 @@
             },
         )
 
-    async def publish(self, trainer: Trainer, version: int, request) -> Response:
+    async def publish_weights(
+        self, trainer: Trainer, version: int, request
+    ) -> Response:
         """Publish weights: store them, then name the version to everyone."""
         if not trainer.publishes:
             return problem_response(
@@ -214,25 +228,25 @@
         pool, by = trainer.pool, f"trainer {trainer.name}"
         outcome = await self.publisher.publish(pool, version, request.body, by)
         if not isinstance(outcome, Committed):
-            return unsure(outcome)
+            return retry_response(outcome)
         return json_response(200, {"pool": pool, "version": version})
 
-    async def show(self, trainer: Trainer) -> Response:
+    async def show_state(self, trainer: Trainer) -> Response:
         """Tell where a trainer stands."""
-        ledger = Ledger(self.platform, trainer.name)
-        trainee, pairs = await asyncio.gather(ledger.trainee(), ledger.groups())
+        ledger = TrainerStore(self.platform, trainer.name)
+        trainee, pairs = await asyncio.gather(ledger.read_state(), ledger.read_groups())
         if isinstance(trainee, Unavailable) or isinstance(pairs, Unavailable):
-            return unsure(Unavailable("the platform is down"))
+            return retry_response(Unavailable("the platform is down"))
         groups = [group for _, group in pairs]
         failed = {group.id: group.failed for group in groups if group.failed}
         value = attrs.asdict(trainee)
         del value["row_version"]
-        value["ready"] = sum(1 for group in groups if group.ready)
-        value["open"] = sum(1 for group in groups if group.waits)
+        value["ready"] = sum(1 for group in groups if group.is_ready)
+        value["open"] = sum(1 for group in groups if group.is_pending)
         return json_response(200, value | {"failed": failed})
 
 
-def is_seconds(text: str) -> bool:
+def is_duration(text: str) -> bool:
     """Tell whether a text is a number of seconds, at least 0."""
     try:
         return float(text) >= 0
@@ -240,10 +254,10 @@
         return False
 
 
-def unsure(outcome: Unavailable | Unknown) -> Response:
+def retry_response(outcome: Unavailable | Unknown) -> Response:
     """Return the answer for an outcome that calls for another try."""
     if isinstance(outcome, Unknown):
         detail = f"{outcome.reason}; the same request again is harmless"
-        return problem_response(504, "unknown", detail, retry_after=RETRY_AFTER)
+        return problem_response(504, "unknown", detail, retry_after=RETRY_AFTER_S)
     detail = f"the platform cannot be asked: {outcome.reason}"
-    return problem_response(503, "not run", detail, retry_after=RETRY_AFTER)
+    return problem_response(503, "not run", detail, retry_after=RETRY_AFTER_S)
--- a/gypsumshift/generation.py
+++ b/gypsumshift/trainerdriver.py
@@ -5,26 +5,26 @@
 
 from gypsumshift.dispatch import Dispatcher
 from gypsumshift.generated.declarations import Trainer
-from gypsumshift.groups import Group, Sample, Trainee
+from gypsumshift.groups import Group, Sample, TrainerState
 from gypsumshift.leases import Lease
-from gypsumshift.ledger import Ledger, is_fresh
 from gypsumshift.outcomes import Committed, Conflict, Unavailable
 from gypsumshift.platforms import Row
 from gypsumshift.process import Process
 from gypsumshift.sampling import Sampler
+from gypsumshift.trainerstore import TrainerStore, is_fresh
 
-__all__ = ["Driver", "Generator", "groups_due", "steps_ahead"]
+__all__ = ["TrainerDriver", "DriverManager", "groups_due", "steps_ahead"]
 
-LEASE_DURATION = 4.0
-LEASE_PERIOD = 1.0
-TICK = 0.3
-KEEP_PAUSE = 0.5
-LOOK_PERIOD = 0.3
-LEAST_PAUSE = 0.05
+LEASE_DURATION_S = 4.0
+LEASE_RENEWAL_PERIOD_S = 1.0
+TICK_PERIOD_S = 0.3
+STORE_RETRY_S = 0.5
+SEAL_RETRY_PERIOD_S = 0.3
+MIN_SEAL_PAUSE_S = 0.05
 AHEAD_URGENCY = 6
-WANTED_URGENCY = 4
-LAST_URGENCY = 2
-LAST_SHARE = 0.75
+STEP_URGENCY = 4
+LAST_GROUPS_URGENCY = 2
+LAST_GROUPS_SHARE = 0.75
 
 
 def steps_ahead(trainer: Trainer) -> int:
@@ -36,7 +36,7 @@
     return round((1 - trainer.staleness_weight) * trainer.staleness_bound)
 
 
-def groups_due(trainer: Trainer, trainee: Trainee) -> int:
+def groups_due(trainer: Trainer, trainee: TrainerState) -> int:
     """Return how many groups shall be ready or running.
 
     What is overprovisioned beyond a step is ready for the next; where the bound is
@@ -49,7 +49,7 @@
     return trainer.groups_per_step * steps + math.ceil(trainer.groups_per_step * share)
 
 
-class Driver:
+class TrainerDriver:
     """Drives the groups of one trainer while this entry holds the lease.
 
     Parameters
@@ -65,52 +65,52 @@
         self.dispatcher = dispatcher
         self.name = name
         self.clock = process.clock
-        self.ledger = Ledger(process.platform, name)
+        self.store = TrainerStore(process.platform, name)
         owner = f"{process.own.name}/{process.own.incarnation}"
         tables = process.platform.tables
         lease_name = f"trainer/{name}"
-        self.lease = Lease(tables, lease_name, owner, self.clock, LEASE_DURATION)
+        self.lease = Lease(tables, lease_name, owner, self.clock, LEASE_DURATION_S)
         self.sampler = Sampler(process, dispatcher, name)
         self.running: dict[int, asyncio.Task] = {}
-        self.ready = 0
-        self.progressed = asyncio.Event()
-        self.sealable = asyncio.Event()
+        self.ready_count = 0
+        self.wake = asyncio.Event()
+        self.step_ready = asyncio.Event()
 
     @property
-    def declared(self) -> Trainer | None:
+    def declaration(self) -> Trainer | None:
         """The trainer's declaration now in force."""
-        return self.process.in_force.catalog.trainers.get(self.name)
+        return self.process.active_revision.catalog.trainers.get(self.name)
 
     async def run(self) -> None:
         """Hold the lease where nobody else does, and drive while it is held."""
-        renewing = self.process.spawn(self.renew())
+        renewing = self.process.spawn(self.run_lease_loop())
         try:
-            while self.declared is not None:
+            while self.declaration is not None:
                 if self.lease.held and not self.process.own.leaving:
-                    await self.tick()
+                    await self.start_due_groups()
                 else:
                     self.stop_groups()
-                self.progressed.clear()
-                await self.pause()
+                self.wake.clear()
+                await self.wait_for_tick()
         finally:
             renewing.cancel()
             self.stop_groups()
             await self.lease.release()
 
-    async def pause(self) -> None:
+    async def wait_for_tick(self) -> None:
         """Wait for the next tick, or until a group has ended."""
         try:
-            async with asyncio.timeout(TICK):
-                await self.progressed.wait()
+            async with asyncio.timeout(TICK_PERIOD_S):
+                await self.wake.wait()
         except TimeoutError:
             pass
 
-    async def renew(self) -> None:
+    async def run_lease_loop(self) -> None:
         """Renew the lease, or wait for it."""
         while True:
             if not self.process.own.leaving:
                 await self.lease.renew_or_acquire()
-            await self.clock.sleep(LEASE_PERIOD)
+            await self.clock.sleep(LEASE_RENEWAL_PERIOD_S)
 
     def stop_groups(self) -> None:
         """Stop all groups that run."""
@@ -118,93 +118,98 @@
             task.cancel()
         self.running.clear()
 
-    async def tick(self) -> None:
+    async def start_due_groups(self) -> None:
         """Look at the ledger, and start the groups that are due."""
-        trainer = self.sampler.trainer = self.declared or self.sampler.trainer
-        trainee = await self.ledger.trainee()
-        pairs = await self.ledger.groups()
+        trainer = self.sampler.trainer = self.declaration or self.sampler.trainer
+        trainee = await self.store.read_state()
+        pairs = await self.store.read_groups()
         if isinstance(trainee, Unavailable) or isinstance(pairs, Unavailable):
             return
-        self.sampler.floor = trainee.version - trainer.staleness_bound
-        await self.discard_stale(pairs, trainee, trainer.staleness_bound)
-        ready = [group for _, group in pairs if group.ready]
-        self.count_ready(len(ready))
+        self.sampler.min_version = trainee.version - trainer.staleness_bound
+        await self.discard_stale_groups(pairs, trainee, trainer.staleness_bound)
+        ready = [group for _, group in pairs if group.is_ready]
+        self.set_ready_count(len(ready))
         room = groups_due(trainer, trainee) - len(ready) - len(self.running)
         missing = trainer.groups_per_step - len(ready)
         for row, group in pairs:
             if room <= 0:
                 break
-            if group.waits and group.number not in self.running:
+            if group.is_pending and group.number not in self.running:
                 place = len(self.running) + 1
-                self.start_group(row, group, urgency(trainer, place, missing))
+                self.start_group(row, group, group_urgency(trainer, place, missing))
                 room -= 1
 
-    def count_ready(self, ready: int) -> None:
+    def set_ready_count(self, ready: int) -> None:
         """Note how many groups are ready, and whether that makes a step."""
-        self.ready = ready
+        self.ready_count = ready
         if ready >= self.sampler.trainer.groups_per_step:
-            self.sealable.set()
+            self.step_ready.set()
         else:
-            self.sealable.clear()
+            self.step_ready.clear()
 
-    async def discard_stale(self, pairs, trainee: Trainee, bound: int) -> None:
+    async def discard_stale_groups(
+        self, pairs, trainee: TrainerState, bound: int
+    ) -> None:
         """Take back ready groups that have become too old."""
         for row, group in pairs:
-            if group.ready and not is_fresh(group, trainee, bound):
-                await self.ledger.discard(row, group)
+            if group.is_ready and not is_fresh(group, trainee, bound):
+                await self.store.discard_samples(row, group)
                 self.process.metrics.count("groups_discarded", trainer=self.name)
                 group.object = ""
 
     def start_group(self, row: Row, group: Group, urgency: int) -> None:
         """Start to generate a group's samples."""
-        task = self.process.spawn(self.generate(row, group, urgency))
+        task = self.process.spawn(self.generate_group(row, group, urgency))
         self.running[group.number] = task
 
-    async def generate(self, row: Row, group: Group, urgency: int) -> None:
+    async def generate_group(self, row: Row, group: Group, urgency: int) -> None:
         """Generate a group's samples and mark it ready."""
         try:
             samples: list[Sample | None] = [None] * group.samples
-            while missing := self.missing(samples):
+            while missing := self.missing_samples(samples):
                 made = await asyncio.gather(
-                    *(self.sampler.sample(group, number, urgency) for number in missing)
+                    *(
+                        self.sampler.generate_sample(group, number, urgency)
+                        for number in missing
+                    )
                 )
                 if None in made:
                     reason = "engines reject the prompt, or end under it"
-                    await self.ledger.fail(row, group, reason)
+                    await self.store.fail_group(row, group, reason)
                     return
                 for number, sample in zip(missing, made, strict=True):
                     samples[number] = sample
-            await self.keep(row, group, samples)
+            await self.store_group(row, group, samples)
         finally:
             if self.running.get(group.number) is asyncio.current_task():
                 del self.running[group.number]
-            self.progressed.set()
+            self.wake.set()
 
-    def missing(self, samples: list[Sample | None]) -> list[int]:
+    def missing_samples(self, samples: list[Sample | None]) -> list[int]:
         """Return the numbers of the samples that are not there, or are too old."""
         missing = []
         for number, sample in enumerate(samples):
-            if sample is not None and sample.oldest >= self.sampler.floor:
+            if sample is not None and sample.oldest >= self.sampler.min_version:
                 continue
             if sample is not None:
                 self.sampler.count_wasted(len(sample.token_ids), "stale")
             missing.append(number)
         return missing
 
-    async def keep(self, row: Row, group: Group, samples: list[Sample]) -> None:
+    async def store_group(self, row: Row, group: Group, samples: list[Sample]) -> None:
         """Mark a group ready, trying again while the platform is down."""
-        name = self.ledger.object_name(group)
+        name = self.store.new_object_name(group)
         while True:
-            outcome = await self.ledger.finish(row, group, samples, name)
+            outcome = await self.store.finish_group(row, group, samples, name)
             if isinstance(outcome, (Committed, Conflict)):
                 subject = f"{self.name}/{group.id}"
                 self.process.recorder.note("group-ready", subject)
-                self.count_ready(self.ready + 1)
+                self.set_ready_count(self.ready_count + 1)
                 return
-            await self.clock.sleep(KEEP_PAUSE)
+            await self.clock.sleep(STORE_RETRY_S)
 
 
-def urgency(trainer: Trainer, place: int, missing: int) -> int:
+def group_urgency(trainer: Trainer, place: int, missing: int) -> int:
     """Return the urgency of a group: the last that the step waits for go first.
 
     Parameters
@@ -217,11 +222,11 @@
     """
     if place > missing:
         return AHEAD_URGENCY
-    last = missing <= (1 - LAST_SHARE) * trainer.groups_per_step
-    return LAST_URGENCY if last else WANTED_URGENCY
+    last = missing <= (1 - LAST_GROUPS_SHARE) * trainer.groups_per_step
+    return LAST_GROUPS_URGENCY if last else STEP_URGENCY
 
 
-class Generator:
+class DriverManager:
     """Runs one driver for each declared trainer.
 
     Parameters
@@ -233,41 +238,41 @@
     def __init__(self, process: Process, dispatcher: Dispatcher):
         self.process = process
         self.dispatcher = dispatcher
-        self.drivers: dict[str, Driver] = {}
+        self.drivers: dict[str, TrainerDriver] = {}
 
-    def follow(self) -> None:
+    def start_missing_drivers(self) -> None:
         """Start a driver for each trainer that is declared and has none."""
-        for name in self.process.in_force.catalog.trainers:
+        for name in self.process.active_revision.catalog.trainers:
             if name not in self.drivers:
-                driver = Driver(self.process, self.dispatcher, name)
+                driver = TrainerDriver(self.process, self.dispatcher, name)
                 self.drivers[name] = driver
                 task = self.process.spawn(driver.run())
                 task.add_done_callback(
                     lambda _, name=name: self.drivers.pop(name, None)
                 )
 
-    async def await_sealable(self, name: str, most: float) -> None:
+    async def wait_until_sealable(self, name: str, timeout: float) -> None:
         """Wait until a step may be complete, for ``most`` seconds at the most.
 
         Only the entry that drives the trainer knows; any other looks again soon.
         """
         driver = self.drivers.get(name)
         if driver is None or not driver.lease.held:
-            await self.process.clock.sleep(min(most, LOOK_PERIOD))
+            await self.process.clock.sleep(min(timeout, SEAL_RETRY_PERIOD_S))
             return
-        await self.process.clock.sleep(min(most, LEAST_PAUSE))
+        await self.process.clock.sleep(min(timeout, MIN_SEAL_PAUSE_S))
         try:
-            async with asyncio.timeout(most):
-                await driver.sealable.wait()
+            async with asyncio.timeout(timeout):
+                await driver.step_ready.wait()
         except TimeoutError:
             pass
 
-    def nudge(self, name: str) -> None:
+    def wake_driver(self, name: str) -> None:
         """Have the driver of a trainer look at the ledger now."""
         if name in self.drivers:
-            self.drivers[name].progressed.set()
+            self.drivers[name].wake.set()
 
-    async def release(self) -> None:
+    async def release_leases(self) -> None:
         """Give up all leases, so that other entries go on at once."""
         for driver in self.drivers.values():
             driver.stop_groups()
--- a/gypsumshift/ledger.py
+++ b/gypsumshift/trainerstore.py
@@ -17,7 +17,7 @@
 import attrs
 import cattrs
 
-from gypsumshift.groups import Group, Sample, Step, Trainee
+from gypsumshift.groups import Group, Sample, Step, TrainerState
 from gypsumshift.outcomes import (
     Committed,
     Conflict,
@@ -28,15 +28,15 @@
 )
 from gypsumshift.platforms import ABSENT, Platform, Row, Write
 
-__all__ = ["Ledger", "is_fresh"]
+__all__ = ["TrainerStore", "is_fresh"]
 
 TRAINERS_TABLE = "trainers"
 GROUPS_TABLE = "groups"
 IDS_TABLE = "group_ids"
 STEPS_TABLE = "steps"
-KEPT_STEPS = 2
-SETTLE_TRIES = 4
-READS_AT_ONCE = 32
+RETAINED_STEPS = 2
+MAX_COMMIT_TRIES = 4
+MAX_CONCURRENT_READS = 32
 
 
 def group_key(trainer: str, number: int) -> str:
@@ -49,7 +49,7 @@
     return f"{trainer}/{number:012d}"
 
 
-class Ledger:
+class TrainerStore:
     """The ledger of one trainer.
 
     Parameters
@@ -63,41 +63,41 @@
         self.objects = platform.objects
         self.trainer = trainer
 
-    async def trainee(self) -> Trainee | Unavailable:
+    async def read_state(self) -> TrainerState | Unavailable:
         """Return where the trainer stands."""
         row = await self.tables.read(TRAINERS_TABLE, self.trainer)
         if isinstance(row, Unavailable):
             return row
         if isinstance(row, Missing):
-            return Trainee()
-        return Trainee(**row.value, row_version=row.version)
+            return TrainerState()
+        return TrainerState(**row.value, row_version=row.version)
 
-    def trainee_write(self, trainee: Trainee, **changes: int) -> Write:
+    def state_write(self, trainee: TrainerState, **changes: int) -> Write:
         """Return the write that changes the trainer's row, unless it was changed."""
         value = attrs.asdict(attrs.evolve(trainee, **changes))
         del value["row_version"]
         return Write(TRAINERS_TABLE, self.trainer, value, trainee.row_version)
 
-    async def groups(self) -> list[tuple[Row, Group]] | Unavailable:
+    async def read_groups(self) -> list[tuple[Row, Group]] | Unavailable:
         """Return the groups that no step has taken yet, in order of acceptance."""
         rows = await self.tables.scan(GROUPS_TABLE, f"{self.trainer}/")
         if isinstance(rows, Unavailable):
             return rows
         return [(row, cattrs.structure(row.value, Group)) for row in rows]
 
-    async def submit(self, groups: list[Group]) -> int | Unavailable | Unknown:
+    async def accept_groups(self, groups: list[Group]) -> int | Unavailable | Unknown:
         """Accept groups, each once per id; return how many were new."""
         result = Unavailable("the trainer's row changed again and again")
-        for _ in range(SETTLE_TRIES):
-            trainee = await self.trainee()
+        for _ in range(MAX_COMMIT_TRIES):
+            trainee = await self.read_state()
             if isinstance(trainee, Unavailable):
                 return trainee
-            fresh = await self.fresh(groups)
+            fresh = await self.filter_new(groups)
             if isinstance(fresh, Unavailable):
                 return fresh
             if not fresh:
                 return 0
-            outcome = await self.tables.commit(self.submit_writes(trainee, fresh))
+            outcome = await self.tables.commit(self.accept_writes(trainee, fresh))
             if isinstance(outcome, Committed):
                 return len(fresh)
             if isinstance(outcome, Unavailable):
@@ -106,7 +106,7 @@
                 result = outcome
         return result
 
-    async def fresh(self, groups: list[Group]) -> list[Group] | Unavailable:
+    async def filter_new(self, groups: list[Group]) -> list[Group] | Unavailable:
         """Return the groups whose ids were not accepted before."""
         named = {group.id: group for group in reversed(groups)}
         rows = await asyncio.gather(
@@ -119,10 +119,10 @@
         fresh = [group for group, row in pairs if isinstance(row, Missing)]
         return list(reversed(fresh))
 
-    def submit_writes(self, trainee: Trainee, groups: list[Group]) -> list[Write]:
+    def accept_writes(self, trainee: TrainerState, groups: list[Group]) -> list[Write]:
         """Return the transaction that accepts new groups."""
         accepted = trainee.accepted
-        writes = [self.trainee_write(trainee, accepted=accepted + len(groups))]
+        writes = [self.state_write(trainee, accepted=accepted + len(groups))]
         for number, group in enumerate(groups, accepted + 1):
             numbered = attrs.evolve(group, number=number, object="", oldest=0, newest=0)
             key = f"{self.trainer}/{group.id}"
@@ -131,13 +131,15 @@
             writes.append(Write(GROUPS_TABLE, place, attrs.asdict(numbered), ABSENT))
         return writes
 
-    async def want(self, number: int, version: int) -> Trainee | Conflict | Unavailable:
+    async def request_step(
+        self, number: int, version: int
+    ) -> TrainerState | Conflict | Unavailable:
         """Note that the trainer asks for a step and which version it trains on.
 
         The version only ever grows. A step after the next is a conflict.
         """
-        for _ in range(SETTLE_TRIES):
-            trainee = await self.trainee()
+        for _ in range(MAX_COMMIT_TRIES):
+            trainee = await self.read_state()
             if isinstance(trainee, Unavailable):
                 return trainee
             if number > trainee.sealed + 1:
@@ -146,13 +148,13 @@
             version = max(trainee.version, version)
             if (wanted, version) == (trainee.wanted, trainee.version):
                 return trainee
-            write = self.trainee_write(trainee, wanted=wanted, version=version)
+            write = self.state_write(trainee, wanted=wanted, version=version)
             outcome = await self.tables.commit([write])
             if isinstance(outcome, Unavailable):
                 return outcome
         return Unavailable("the trainer's row changed again and again")
 
-    def object_name(self, group: Group) -> str:
+    def new_object_name(self, group: Group) -> str:
         """Return a new name for the object with a group's samples.
 
         A second result of the same group is another object, and only one of them
@@ -161,14 +163,14 @@
         number = f"{group.number:012d}"
         return f"samples/{self.trainer}/{number}-{secrets.token_hex(6)}"
 
-    async def finish(
+    async def finish_group(
         self, row: Row, group: Group, samples: list[Sample], name: str = ""
     ) -> Written:
         """Put a group's samples as an object and mark it ready, where it still waits.
 
         With the same ``name`` again it is harmless after an unknown outcome.
         """
-        name = name or self.object_name(group)
+        name = name or self.new_object_name(group)
         data = json.dumps([attrs.asdict(sample) for sample in samples]).encode()
         outcome = await self.objects.put(name, data)
         if isinstance(outcome, (Unavailable, Unknown)):
@@ -183,14 +185,14 @@
             [Write(row.table, row.key, attrs.asdict(ready), row.version)]
         )
 
-    async def fail(self, row: Row, group: Group, reason: str) -> Written:
+    async def fail_group(self, row: Row, group: Group, reason: str) -> Written:
         """Set a group aside that no engine will generate."""
         failed = attrs.evolve(group, failed=reason)
         return await self.tables.commit(
             [Write(row.table, row.key, attrs.asdict(failed), row.version)]
         )
 
-    async def discard(self, row: Row, group: Group) -> Written:
+    async def discard_samples(self, row: Row, group: Group) -> Written:
         """Take a ready group's samples back, to have it generated again."""
         opened = attrs.evolve(group, object="", oldest=0, newest=0)
         outcome = await self.tables.commit(
@@ -200,7 +202,7 @@
             await self.objects.delete(group.object)
         return outcome
 
-    async def seal(
+    async def seal_step(
         self, size: int, bound: int
     ) -> Step | Missing | Conflict | Unavailable | Unknown:
         """Seal the step that is wanted, where enough fresh groups are ready.
@@ -216,31 +218,31 @@
         -------
         Step, Missing (not enough is ready yet), or how the transaction failed
         """
-        trainee = await self.trainee()
+        trainee = await self.read_state()
         if isinstance(trainee, Unavailable):
             return trainee
         if trainee.wanted <= trainee.sealed:
-            return await self.step(trainee.sealed)
-        pairs = await self.groups()
+            return await self.read_step(trainee.sealed)
+        pairs = await self.read_groups()
         if isinstance(pairs, Unavailable):
             return pairs
         fresh = []
         for row, group in pairs:
-            if not group.ready:
+            if not group.is_ready:
                 continue
             if is_fresh(group, trainee, bound):
                 fresh.append((row, group))
             else:
-                await self.discard(row, group)
+                await self.discard_samples(row, group)
         if len(fresh) < size:
             return Missing()
         return await self.commit_step(trainee, fresh[:size])
 
-    async def commit_step(self, trainee: Trainee, chosen: list[tuple[Row, Group]]):
+    async def commit_step(self, trainee: TrainerState, chosen: list[tuple[Row, Group]]):
         """Write a step and take its groups off the list, in one transaction."""
         number = trainee.sealed + 1
         step = Step(number, trainee.version, [group for _, group in chosen])
-        writes = [self.trainee_write(trainee, sealed=number)]
+        writes = [self.state_write(trainee, sealed=number)]
         place = step_key(self.trainer, number)
         writes.append(Write(STEPS_TABLE, place, attrs.asdict(step), ABSENT))
         for row, _ in chosen:
@@ -248,16 +250,16 @@
         outcome = await self.tables.commit(writes)
         return step if isinstance(outcome, Committed) else outcome
 
-    async def step(self, number: int) -> Step | Missing | Unavailable:
+    async def read_step(self, number: int) -> Step | Missing | Unavailable:
         """Return a sealed step that is still kept."""
         row = await self.tables.read(STEPS_TABLE, step_key(self.trainer, number))
         if isinstance(row, (Missing, Unavailable)):
             return row
         return cattrs.structure(row.value, Step)
 
-    async def samples(self, step: Step) -> list[Sample] | Missing | Unavailable:
+    async def read_samples(self, step: Step) -> list[Sample] | Missing | Unavailable:
         """Return the samples of a step, in the order of its groups."""
-        slots = asyncio.Semaphore(READS_AT_ONCE)
+        slots = asyncio.Semaphore(MAX_CONCURRENT_READS)
 
         async def read(group: Group) -> bytes | Missing | Unavailable:
             async with slots:
@@ -270,10 +272,10 @@
             found += cattrs.structure(json.loads(data), list[Sample])
         return found
 
-    async def sweep(self, sealed: int) -> None:
+    async def remove_old_step(self, sealed: int) -> None:
         """Remove a step that the trainer has long pulled past."""
-        old = sealed - KEPT_STEPS
-        step = await self.step(old) if old > 0 else Missing()
+        old = sealed - RETAINED_STEPS
+        step = await self.read_step(old) if old > 0 else Missing()
         if not isinstance(step, Step):
             return
         for group in step.groups:
@@ -281,6 +283,6 @@
         await self.tables.commit([Write(STEPS_TABLE, step_key(self.trainer, old))])
 
 
-def is_fresh(group: Group, trainee: Trainee, bound: int) -> bool:
+def is_fresh(group: Group, trainee: TrainerState, bound: int) -> bool:
     """Tell whether a ready group is within the staleness bound."""
     return group.oldest >= trainee.version - bound
--- a/gypsumshift/publication.py
+++ b/gypsumshift/weightpublisher.py
@@ -6,12 +6,12 @@
 from gypsumshift.process import Process
 from gypsumshift.revisions import HEADS_TABLE
 
-__all__ = ["Publisher"]
+__all__ = ["WeightPublisher"]
 
-TRIES = 4
+MAX_TRIES = 4
 
 
-class Publisher:
+class WeightPublisher:
     """Publishes weights of pools.
 
     Parameters
@@ -37,8 +37,8 @@
         stored = await self.process.platform.weights.publish(pool, version, data)
         if isinstance(stored, (Unavailable, Unknown)):
             return stored
-        for _ in range(TRIES):
-            outcome = await self.name_version(pool, version, by)
+        for _ in range(MAX_TRIES):
+            outcome = await self.set_newest_version(pool, version, by)
             if isinstance(outcome, Committed):
                 self.process.set_target(pool, version)
                 return outcome
@@ -46,7 +46,7 @@
                 return outcome
         return Unknown("the platform's answer was lost")
 
-    async def name_version(self, pool: str, version: int, by: str) -> Written:
+    async def set_newest_version(self, pool: str, version: int, by: str) -> Written:
         """Name a version as the newest of a pool, where it is."""
         key = WEIGHTS_PREFIX + pool
         row = await self.tables.read(HEADS_TABLE, key)
--- a/gypsumshift/rollout.py
+++ b/gypsumshift/weightrollout.py
@@ -7,23 +7,23 @@
 
 import asyncio
 
+from gypsumshift.attemptrunner import AttemptRunner
 from gypsumshift.backend import Backend, Fence
 from gypsumshift.generated.messages import RequestClass
 from gypsumshift.members import rank
 from gypsumshift.process import Process
-from gypsumshift.runs import Runs
 
-__all__ = ["Rollout", "waves"]
+__all__ = ["WeightRollout", "plan_waves"]
 
-PERIOD = 0.05
-IDLE_PERIOD = 1.0
-CLIENTS_WAIT = 0.3
-CLIENTS_PERIOD = 0.01
-RETRY_FIRST = 0.25
-RETRY_MOST = 10.0
+WAVE_CHECK_PERIOD_S = 0.05
+VERSION_CHECK_PERIOD_S = 1.0
+MAX_CLIENT_WAIT_S = 0.3
+CLIENT_CHECK_PERIOD_S = 0.01
+FIRST_RETRY_DELAY_S = 0.25
+MAX_RETRY_DELAY_S = 10.0
 
 
-def waves(backends: set[str], version: int, floor: float) -> list[list[str]]:
+def plan_waves(backends: set[str], version: int, floor: float) -> list[list[str]]:
     """Return the backend servers of a pool in the waves that load a version.
 
     Parameters
@@ -39,7 +39,7 @@
     return [order[start : start + size] for start in range(0, len(order), size)]
 
 
-class Rollout:
+class WeightRollout:
     """Follows the newest published version of the pool.
 
     Parameters
@@ -51,8 +51,14 @@
     runs : Runs
     """
 
-    def __init__(self, process: Process, backend: Backend, fence: Fence, runs: Runs):
-        self.runs = runs
+    def __init__(
+        self,
+        process: Process,
+        backend: Backend,
+        fence: Fence,
+        attempt_runner: AttemptRunner,
+    ):
+        self.attempt_runner = attempt_runner
         self.process = process
         self.backend = backend
         self.fence = fence
@@ -72,58 +78,62 @@
             held = self.backend.state.version
             if not self.process.own.fence or held is None or held >= self.target:
                 tries = 0
-                await self.pause()
+                await self.wait_for_new_version()
                 continue
             if tries == 0:
-                await self.await_wave(self.target)
+                await self.wait_for_wave(self.target)
             if await self.fence.deposed():
                 self.process.leave("a newer sidecar gives the orders")
                 return
-            await self.let_clients_end()
+            await self.wait_for_client_requests()
             if await self.backend.load_weights(self.target, self.process.own.fence):
                 tries = 0
                 self.process.heartbeats.wake.set()
                 continue
             tries += 1
-            await self.clock.sleep(min(RETRY_FIRST * 2**tries, RETRY_MOST))
+            await self.clock.sleep(
+                min(FIRST_RETRY_DELAY_S * 2**tries, MAX_RETRY_DELAY_S)
+            )
 
-    async def pause(self) -> None:
+    async def wait_for_new_version(self) -> None:
         """Wait for a new version; look once in a while whether the engine lost its."""
         try:
-            async with asyncio.timeout(IDLE_PERIOD):
+            async with asyncio.timeout(VERSION_CHECK_PERIOD_S):
                 await self.wake.wait()
         except TimeoutError:
             pass
         self.wake.clear()
 
-    async def let_clients_end(self) -> None:
+    async def wait_for_client_requests(self) -> None:
         """Send new clients elsewhere; wait a moment for those that run.
 
         Samples go on: they are paused by the swap, and labelled per token.
         """
         self.backend.swapping = True
         self.process.heartbeats.wake.set()
-        deadline = self.clock.monotonic() + CLIENTS_WAIT
-        running = self.runs.admission.running_of
+        deadline = self.clock.monotonic() + MAX_CLIENT_WAIT_S
+        running = self.attempt_runner.admission.running_of
         while running[RequestClass.CLIENT] and self.clock.monotonic() < deadline:
-            await self.clock.sleep(CLIENTS_PERIOD)
+            await self.clock.sleep(CLIENT_CHECK_PERIOD_S)
 
-    async def await_wave(self, version: int) -> None:
+    async def wait_for_wave(self, version: int) -> None:
         """Wait until the waves before this one's are through, or had their time."""
         own = self.process.own
         sidecars = self.process.view.sidecars(own.pool)
         backends = {known.member.backend for known in sidecars} | {own.backend}
         pool = self.backend.pool
-        order = waves(backends, version, pool.serving_floor)
+        order = plan_waves(backends, version, pool.serving_floor)
         self.wave = next(n for n, wave in enumerate(order) if own.backend in wave)
         detail = f"version {version} wave {self.wave} of {len(order)}"
         self.process.recorder.note("wave", own.backend, detail)
         earlier = {name for wave in order[: self.wave] for name in wave}
         deadline = self.clock.monotonic() + self.wave * pool.swap_allowance
-        while self.clock.monotonic() < deadline and not self.through(earlier, version):
-            await self.clock.sleep(PERIOD)
+        while self.clock.monotonic() < deadline and not self.all_loaded(
+            earlier, version
+        ):
+            await self.clock.sleep(WAVE_CHECK_PERIOD_S)
 
-    def through(self, earlier: set[str], version: int) -> bool:
+    def all_loaded(self, earlier: set[str], version: int) -> bool:
         """Tell whether all these backend servers are known to have a version."""
         held = {
             known.member.backend: known.member.version
--- a/history/mutants.py
+++ b/history/mutants.py
@@ -24,27 +24,29 @@
     """Label all tokens of a stream with the version of its first."""
     from gypsumshift import labels
 
-    inner = labels.Labeller.add
+    inner = labels.Labeller.add_tokens
 
     def add(self, tokens, version):
         inner(self, tokens, self.spans[0].version if self.spans else version)
 
-    labels.Labeller.add = add
+    labels.Labeller.add_tokens = add
 
 
 def skip_staleness():
     """Check the age of samples nowhere."""
-    from gypsumshift import generation, ledger
+    from gypsumshift import trainerdriver, trainerstore
 
-    ledger.is_fresh = generation.is_fresh = lambda group, trainee, bound: True
-    generation.Driver.floor = property(lambda self: -(10**9), lambda self, value: None)
+    trainerstore.is_fresh = trainerdriver.is_fresh = lambda group, trainee, bound: True
+    trainerdriver.TrainerDriver.min_version = property(
+        lambda self: -(10**9), lambda self, value: None
+    )
 
 
 def keep_sealed_groups():
     """Seal steps without taking their groups off the list."""
-    from gypsumshift import ledger
+    from gypsumshift import trainerstore
 
-    inner = ledger.Ledger.commit_step
+    inner = trainerstore.TrainerStore.commit_step
 
     async def commit_step(self, trainee, chosen):
         kept = [(_Kept(row), group) for row, group in chosen]
@@ -56,7 +58,7 @@
         def __init__(self, row):
             self.table, self.key, self.version = "nowhere", row.key, None
 
-    ledger.Ledger.commit_step = commit_step
+    trainerstore.TrainerStore.commit_step = commit_step
 
 
 def accept_short_bodies():
@@ -90,12 +92,12 @@
 
 def forget_keys():
     """Take every key for a fresh one."""
-    from gypsumshift import keys
+    from gypsumshift import idempotency
 
     async def inspect_row(self, row, job):
-        return keys.Refusal("forgotten", 0.1)
+        return idempotency.Refusal("forgotten", 0.1)
 
-    keys.KeyOwner.inspect = inspect_row
+    idempotency.IdempotentRunner.inspect_claim = inspect_row
 
 
 def ignore_leaving():
--- a/tests/system.py
+++ b/tests/system.py
@@ -128,7 +128,7 @@
         for number in range(entries):
             await self.add_entry(f"entry-{number}")
         catalog = declarations.parse(self.source, "test")
-        outcome = await self.entries[0].history.apply(
+        outcome = await self.entries[0].revision_history.apply(
             0, catalog.source, "test", "first", "first"
         )
         self.entries[0].adopt(1, json.dumps(outcome.declarations))
@@ -191,11 +191,11 @@
 
     def settled(self):
         """Tell whether all entries know all sidecars, healthy and at one revision."""
-        newest = max(entry.in_force.number for entry in self.entries)
+        newest = max(entry.active_revision.number for entry in self.entries)
         for sidecar in self.sidecars.values():
             if sidecar.stopped.is_set():
                 continue
-            if not sidecar.own.fence or sidecar.in_force.number < newest:
+            if not sidecar.own.fence or sidecar.active_revision.number < newest:
                 return False
             for entry in self.entries:
                 known = entry.view.known.get(sidecar.own.name)
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -137,7 +137,9 @@
             await until(lambda: engine.running)
             call.cancel()
             await until(lambda: all(s.gone for s in engine.running))
-            await until(lambda: sys.sidecars["model-0"].runs.admission.running == 0)
+            await until(
+                lambda: sys.sidecars["model-0"].attempt_runner.admission.running == 0
+            )
 
     system.run(work, services=0)
 
@@ -231,7 +233,9 @@
                 asyncio.create_task(flood.once("GET", path, [], b"", 8.0))
                 for _ in range(300)
             ]
-            await until(lambda: sys.sidecars["shop-0"].runs.admission.waiting >= 8)
+            await until(
+                lambda: sys.sidecars["shop-0"].attempt_runner.admission.waiting >= 8
+            )
             results = [await quiet.once("GET", path, [], b"", 8.0) for _ in range(5)]
             assert all(isinstance(result, Answered) for result in results)
             outcomes = await asyncio.gather(*many)
--- a/tests/test_keys.py
+++ b/tests/test_idempotency.py
@@ -11,7 +11,7 @@
 from gypsumshift.attempts import AttemptLog
 from gypsumshift.dispatch import Dispatcher, Job
 from gypsumshift.generated.messages import AttemptState, BarReply, Head
-from gypsumshift.keys import KeyOwner, Mismatch, Replayed
+from gypsumshift.idempotency import IdempotentRunner, KeyMismatch, ReplayedAnswer
 from gypsumshift.members import Known
 from gypsumshift.outcomes import NotRun, Unknown
 
@@ -119,7 +119,7 @@
         self.dispatcher = FakeDispatcher(self.clock, self.sidecars)
         platform = builders.platform(self.tables)
         self.owners = [
-            KeyOwner(platform, self.dispatcher, self.clock) for _ in range(2)
+            IdempotentRunner(platform, self.dispatcher, self.clock) for _ in range(2)
         ]
 
     def teardown(self):
@@ -134,8 +134,8 @@
 
     def judge(self, key, result):
         """Check an outcome against what truly ran."""
-        if isinstance(result, (Whole, Replayed)):
-            whole = result.whole if isinstance(result, Replayed) else result
+        if isinstance(result, (Whole, ReplayedAnswer)):
+            whole = result.whole if isinstance(result, ReplayedAnswer) else result
             assert whole.body == key.encode() and self.runs[key] == 1
         elif isinstance(result, NotRun):
             assert self.runs[key] == 0, "said not run, but it ran"
@@ -150,7 +150,7 @@
     def call(self, key, fates, entry):
         self.dispatcher.fates = collections.deque(fates)
         result = self.loop.run_until_complete(
-            self.owners[entry].run(key, self.job(key))
+            self.owners[entry].run_once(key, self.job(key))
         )
         self.judge(key, result)
 
@@ -160,12 +160,12 @@
 
         async def both():
             return await asyncio.gather(
-                *(owner.run(key, self.job(key)) for owner in self.owners)
+                *(owner.run_once(key, self.job(key)) for owner in self.owners)
             )
 
         for result in self.loop.run_until_complete(both()):
-            if isinstance(result, (Whole, Replayed)):
-                whole = result.whole if isinstance(result, Replayed) else result
+            if isinstance(result, (Whole, ReplayedAnswer)):
+                whole = result.whole if isinstance(result, ReplayedAnswer) else result
                 assert whole.body == key.encode()
 
     @rule()
@@ -216,8 +216,8 @@
 def test_the_same_key_with_another_request_is_a_mismatch():
     async def work(machine):
         owner = machine.owners[0]
-        assert isinstance(await owner.run("k", machine.job("k1")), Whole)
-        assert isinstance(await owner.run("k", machine.job("k2")), Mismatch)
+        assert isinstance(await owner.run_once("k", machine.job("k1")), Whole)
+        assert isinstance(await owner.run_once("k", machine.job("k2")), KeyMismatch)
         assert machine.runs == {"k1": 1}
 
     run_calls(work)
@@ -225,12 +225,12 @@
 
 def test_a_kept_answer_outlives_its_sidecar():
     async def work(machine):
-        await machine.owners[0].run("k1", machine.job("k1"))
+        await machine.owners[0].run_once("k1", machine.job("k1"))
         await asyncio.sleep(0)
         for sidecar in machine.sidecars:
             sidecar.restart()
-        result = await machine.owners[1].run("k1", machine.job("k1"))
-        assert isinstance(result, Replayed) and result.whole.body == b"k1"
+        result = await machine.owners[1].run_once("k1", machine.job("k1"))
+        assert isinstance(result, ReplayedAnswer) and result.whole.body == b"k1"
 
     run_calls(work)
 
@@ -238,11 +238,11 @@
 def test_with_the_platform_down_only_a_fresh_key_is_surely_not_run():
     async def work(machine):
         machine.tables.down = True
-        result = await machine.owners[0].run("k1", machine.job("k1"))
+        result = await machine.owners[0].run_once("k1", machine.job("k1"))
         assert isinstance(result, Unknown)
         job = machine.job("k1")
         job.fresh_key = True
-        assert isinstance(await machine.owners[0].run("k1", job), NotRun)
+        assert isinstance(await machine.owners[0].run_once("k1", job), NotRun)
         assert not machine.runs
 
     run_calls(work)
--- a/tests/test_labels.py
+++ b/tests/test_labels.py
@@ -15,9 +15,9 @@
     labeller = Labeller(before)
     truth = []
     for tokens, version in pieces:
-        labeller.add(tokens, version)
+        labeller.add_tokens(tokens, version)
         truth += [version] * tokens
-    spans = labeller.finish(after)
+    spans = labeller.final_spans(after)
     if spans is None:
         assert None in truth
         return
@@ -31,15 +31,15 @@
 
 def test_bare_tokens_across_a_swap_are_in_doubt():
     labeller = Labeller(before=1)
-    labeller.add(3, None)
-    assert labeller.finish(after=2) is None
+    labeller.add_tokens(3, None)
+    assert labeller.final_spans(after=2) is None
 
 
 def test_a_half_labelled_stream_is_in_doubt():
     labeller = Labeller(before=1)
-    labeller.add(2, 1)
-    labeller.add(2, None)
-    assert labeller.finish(after=1) is None
+    labeller.add_tokens(2, 1)
+    labeller.add_tokens(2, None)
+    assert labeller.final_spans(after=1) is None
 
 
 @given(st.integers(1, 200))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -33,7 +33,9 @@
 def everywhere(sys, number):
     """Tell whether a revision is in force in every process that runs."""
     processes = [*sys.entries, *sys.sidecars.values()]
-    return all(p.in_force.number >= number for p in processes if not p.stopped.is_set())
+    return all(
+        p.active_revision.number >= number for p in processes if not p.stopped.is_set()
+    )
 
 
 def test_an_accepted_revision_spreads_with_the_platform_down():
@@ -41,7 +43,9 @@
         assert await apply(sys, 1, 3.0) == 200
         sys.tables.down = True
         await until(lambda: everywhere(sys, 2))
-        timeouts = {e.in_force.catalog.workspaces["w"].timeout for e in sys.entries}
+        timeouts = {
+            e.active_revision.catalog.workspaces["w"].timeout for e in sys.entries
+        }
         assert timeouts == {3.0}
 
     system.run(work, entries=2)
@@ -54,7 +58,9 @@
         )
         assert sorted(statuses) == [200, 409]
         await until(lambda: everywhere(sys, 2))
-        timeouts = {e.in_force.catalog.workspaces["w"].timeout for e in sys.entries}
+        timeouts = {
+            e.active_revision.catalog.workspaces["w"].timeout for e in sys.entries
+        }
         assert len(timeouts) == 1
 
     system.run(work, entries=2)
@@ -63,7 +69,7 @@
 def test_a_rejected_apply_is_not_accepted_anywhere():
     async def work(sys):
         assert await apply(sys, 1, -1) == 422
-        assert await sys.entries[0].history.head() == 1
+        assert await sys.entries[0].revision_history.read_newest_number() == 1
 
     system.run(work)
 
@@ -92,15 +98,17 @@
         sidecar.polls = lambda: False
         for number, timeout in ((1, 3.0), (2, 4.0)):
             assert await apply(sys, number, timeout) == 200
-        await until(lambda: sys.entries[0].in_force.number == 3)
-        assert sidecar.in_force.number == 1
+        await until(lambda: sys.entries[0].active_revision.number == 3)
+        assert sidecar.active_revision.number == 1
         del sidecar.correspondents
         sidecar.own.port = port
         seen = []
-        adopt = sidecar.in_force.adopt
-        sidecar.in_force.adopt = lambda n, text: seen.append(n) or adopt(n, text)
+        activate = sidecar.active_revision.activate_if_newer
+        sidecar.active_revision.activate_if_newer = lambda n, text: (
+            seen.append(n) or activate(n, text)
+        )
         sidecar.heartbeats.wake.set()
-        await until(lambda: sidecar.in_force.number == 3)
+        await until(lambda: sidecar.active_revision.number == 3)
         assert seen == sorted(seen)
 
     system.run(work, engines=0)
@@ -120,8 +128,8 @@
             assert answer.status == 503
             assert json.loads(answer.body)["outcome"] == "not run"
         fresh = await sys.add_entry("entry-late")
-        await until(lambda: fresh.in_force.ready)
-        assert fresh.in_force.number == 1
+        await until(lambda: fresh.active_revision.ready)
+        assert fresh.active_revision.number == 1
 
     system.run(work)
 
@@ -228,7 +236,7 @@
         for number in range(2):
             old = sys.entries[number]
             new = await sys.add_entry(f"entry-new-{number}")
-            await until(lambda new=new: new.in_force.ready and sys.settled())
+            await until(lambda new=new: new.active_revision.ready and sys.settled())
             await old.drain(5)
             await old.stop()
         done.set()
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -29,8 +29,10 @@
             name="e", role="entry", zone="here", platform="memory:", **settings
         )
         async with Entry(chosen, platform) as entry:
-            await entry.in_force.changed.wait() if not entry.in_force.ready else None
-            outcome = await entry.history.apply(0, SOURCE, "a", "m", "token")
+            await (
+                entry.active_revision.changed.wait()
+            ) if not entry.active_revision.ready else None
+            outcome = await entry.revision_history.apply(0, SOURCE, "a", "m", "token")
             entry.adopt(1, json.dumps(outcome.declarations))
             await work(entry)
 
@@ -161,7 +163,7 @@
 
 def test_an_error_inside_a_handler_ends_that_request_only():
     async def work(entry):
-        entry.trainers.show = None
+        entry.trainer_api.show_state = None
         answer = await Fetcher().fetch(entry.front_address, "GET", "/w/trainers/tr")
         assert answer.status == 500
         assert json.loads(answer.body)["outcome"] == "unknown"
@@ -219,7 +221,7 @@
         address = entry.operator_address
         answer = await Fetcher().fetch(address, method, target, [], body)
         assert answer.status == status
-        assert await entry.history.head() == 1
+        assert await entry.revision_history.read_newest_number() == 1
 
     run_with_entry(work)
 
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from gypsumshift.outcomes import Conflict, Unavailable, Unknown
-from gypsumshift.revisions import Accepted, History, InForce
+from gypsumshift.revisions import AcceptedRevision, ActiveRevision, RevisionHistory
 
 from . import builders
 
@@ -23,8 +23,8 @@
         super().__init__()
         self.tables = builders.FaultyTables()
         clock = builders.ManualClock()
-        self.histories = [History(self.tables, clock) for _ in range(2)]
-        self.processes = [InForce(builders.recorder()) for _ in range(3)]
+        self.histories = [RevisionHistory(self.tables, clock) for _ in range(2)]
+        self.processes = [ActiveRevision(builders.recorder()) for _ in range(3)]
         self.loop = asyncio.new_event_loop()
         self.accepted = {}
         self.refused = set()
@@ -34,7 +34,7 @@
         self.loop.close()
 
     def settle(self, token, outcome):
-        if isinstance(outcome, Accepted):
+        if isinstance(outcome, AcceptedRevision):
             known = self.accepted.setdefault(outcome.number, outcome)
             assert known == outcome, "one number, two revisions"
         elif isinstance(outcome, (Conflict, Unavailable)):
@@ -63,17 +63,17 @@
         outcomes = self.loop.run_until_complete(both())
         for number, outcome in enumerate(outcomes):
             self.settle(f"{self.count}-{number}", outcome)
-        assert sum(isinstance(outcome, Accepted) for outcome in outcomes) <= 1
+        assert sum(isinstance(outcome, AcceptedRevision) for outcome in outcomes) <= 1
 
     @rule(process=st.integers(0, 2))
     def read_from_platform(self, process):
-        head = self.loop.run_until_complete(self.histories[0].head())
+        head = self.loop.run_until_complete(self.histories[0].read_newest_number())
         if isinstance(head, Unavailable):
             return
-        found = self.loop.run_until_complete(self.histories[0].get(head))
+        found = self.loop.run_until_complete(self.histories[0].read_revision(head))
         text = json.dumps(found.declarations)
         before = self.processes[process].number
-        self.processes[process].adopt(head, text)
+        self.processes[process].activate_if_newer(head, text)
         assert self.processes[process].number >= before
 
     @rule(teller=st.integers(0, 2), hearer=st.integers(0, 2))
@@ -81,12 +81,12 @@
         told = self.processes[teller]
         before = self.processes[hearer].number
         if told.ready:
-            self.processes[hearer].adopt(told.number, told.text or "{}")
+            self.processes[hearer].activate_if_newer(told.number, told.text or "{}")
         assert self.processes[hearer].number >= before
 
     @rule(process=st.integers(0, 2))
     def replace_process(self, process):
-        self.processes[process] = InForce(builders.recorder())
+        self.processes[process] = ActiveRevision(builders.recorder())
 
     @rule(down=st.booleans())
     def platform_down(self, down):
@@ -125,28 +125,28 @@
 
 def test_a_lost_answer_is_settled_by_the_token():
     tables = builders.FaultyTables()
-    history = History(tables, builders.ManualClock())
+    history = RevisionHistory(tables, builders.ManualClock())
     tables.lose_next = 1
     outcome = asyncio.run(history.apply(0, source("a"), "a", "m", "token"))
-    assert isinstance(outcome, Accepted) and outcome.number == 1
+    assert isinstance(outcome, AcceptedRevision) and outcome.number == 1
 
 
 def test_the_same_token_again_finds_its_own_revision():
     tables = builders.FaultyTables()
-    history = History(tables, builders.ManualClock())
+    history = RevisionHistory(tables, builders.ManualClock())
 
     async def work():
         await history.apply(0, source("a"), "a", "m", "token")
         again = await history.apply(0, source("a"), "a", "m", "token")
-        assert isinstance(again, Accepted) and again.number == 1
-        assert await history.head() == 1
+        assert isinstance(again, AcceptedRevision) and again.number == 1
+        assert await history.read_newest_number() == 1
 
     asyncio.run(work())
 
 
 def test_a_lost_write_while_the_platform_goes_down_is_unknown():
     tables = builders.FaultyTables()
-    history = History(tables, builders.ManualClock())
+    history = RevisionHistory(tables, builders.ManualClock())
 
     class GoesDown(builders.FaultyTables):
         async def commit(self, writes):
@@ -154,13 +154,13 @@
             self.down = True
             return Unknown("lost") if outcome else outcome
 
-    history = History(GoesDown(), builders.ManualClock())
+    history = RevisionHistory(GoesDown(), builders.ManualClock())
     outcome = asyncio.run(history.apply(0, source("a"), "a", "m", "token"))
     assert isinstance(outcome, Unknown)
 
 
 def test_a_revision_that_is_not_understood_leaves_the_old_in_force():
-    process = InForce(builders.recorder())
-    assert process.adopt(1, '{"zones": ["a"]}')
-    assert not process.adopt(2, '{"news": ["b"]}')
+    process = ActiveRevision(builders.recorder())
+    assert process.activate_if_newer(1, '{"zones": ["a"]}')
+    assert not process.activate_if_newer(2, '{"news": ["b"]}')
     assert process.number == 1 and process.catalog.zones == ("a",)
--- a/tests/test_samples.py
+++ b/tests/test_samples.py
@@ -156,7 +156,7 @@
             held = lambda: [
                 e
                 for e in sys.entries
-                if any(d.running for d in e.generator.drivers.values())
+                if any(d.running for d in e.driver_manager.drivers.values())
             ]
             holder = (await until(held))[0]
             await holder.stop()
--- a/tests/test_sampling.py
+++ b/tests/test_sampling.py
@@ -47,15 +47,15 @@
             for number in (4, 5, 6):
                 delivery = await trainer.step(number)
                 check_truth(delivery)
-        sampler = sys.entries[0].generator.drivers["tr"].sampler
-        assert sampler.moved > 0
+        sampler = sys.entries[0].driver_manager.drivers["tr"].sampler
+        assert sampler.migrated > 0
         assert not wasted(sys)
 
     system.run(work, engines=2, services=0)
 
 
 def test_a_sample_on_an_engine_that_hangs_moves(monkeypatch):
-    monkeypatch.setattr("gypsumshift.sampling.STALL", 0.1)
+    monkeypatch.setattr("gypsumshift.sampling.STALL_TIMEOUT_S", 0.1)
 
     async def work(sys):
         hung = sys.engines[0]
@@ -66,7 +66,7 @@
             await hung.swapping.acquire()
             delivery = await pull
             check_truth(delivery)
-        assert sys.entries[0].generator.drivers["tr"].sampler.moved > 0
+        assert sys.entries[0].driver_manager.drivers["tr"].sampler.migrated > 0
 
     system.run(work, engines=2, services=0)
 
--- a/tests/test_ledger.py
+++ b/tests/test_trainerstore.py
@@ -5,9 +5,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from gypsumshift.groups import Group, Sample, Step, Trainee
-from gypsumshift.ledger import Ledger
+from gypsumshift.groups import Group, Sample, Step, TrainerState
 from gypsumshift.outcomes import Committed, Conflict, Missing, Unavailable
+from gypsumshift.trainerstore import TrainerStore
 
 from . import builders
 
@@ -26,7 +26,7 @@
         super().__init__()
         self.tables = builders.FaultyTables()
         self.platform = builders.platform(self.tables)
-        self.ledgers = [Ledger(self.platform, "t") for _ in range(2)]
+        self.ledgers = [TrainerStore(self.platform, "t") for _ in range(2)]
         self.loop = asyncio.new_event_loop()
         self.submitted = set()
         self.held = []
@@ -43,32 +43,32 @@
     def truth(self):
         """Return the trainer's row as it truly is."""
         row = self.tables.rows.get(("trainers", "", "t"))
-        return Trainee(**row.value) if row else Trainee()
+        return TrainerState(**row.value) if row else TrainerState()
 
     @rule(
         ids=st.lists(st.integers(0, 9), min_size=1, max_size=4), who=st.integers(0, 1)
     )
     def submit(self, ids, who):
         groups = [Group(str(number), f"prompt {number}") for number in ids]
-        outcome = self.do(self.ledgers[who].submit(groups))
+        outcome = self.do(self.ledgers[who].accept_groups(groups))
         if isinstance(outcome, int):
             self.submitted |= set(map(str, ids))
 
     @rule(who=st.integers(0, 1))
     def read_groups(self, who):
         """A driver reads the list, to finish groups some time later."""
-        pairs = self.do(self.ledgers[who].groups())
+        pairs = self.do(self.ledgers[who].read_groups())
         if not isinstance(pairs, Unavailable):
             self.held = pairs
 
     @rule(who=st.integers(0, 1), pick=st.integers(0, 9))
     def finish(self, who, pick):
         """A driver finishes a group that it read before, perhaps long ago."""
-        waiting = [pair for pair in self.held if pair[1].waits]
+        waiting = [pair for pair in self.held if pair[1].is_pending]
         if waiting:
             row, group = waiting[pick % len(waiting)]
             done = [sample(group, self.weights)]
-            self.do(self.ledgers[who].finish(row, group, done))
+            self.do(self.ledgers[who].finish_group(row, group, done))
 
     @rule()
     def new_weights(self):
@@ -81,16 +81,16 @@
     @rule(who=st.integers(0, 1))
     def want(self, who):
         number = self.truth().sealed + 1
-        self.do(self.ledgers[who].want(number, self.version))
+        self.do(self.ledgers[who].request_step(number, self.version))
 
     @rule()
     def want_too_far(self):
-        outcome = self.do(self.ledgers[0].want(self.truth().sealed + 2, 0))
+        outcome = self.do(self.ledgers[0].request_step(self.truth().sealed + 2, 0))
         assert isinstance(outcome, (Conflict, Unavailable))
 
     @rule(who=st.integers(0, 1))
     def seal(self, who):
-        outcome = self.do(self.ledgers[who].seal(SIZE, BOUND))
+        outcome = self.do(self.ledgers[who].seal_step(SIZE, BOUND))
         if isinstance(outcome, Step):
             assert self.steps.setdefault(outcome.number, outcome) == outcome
 
@@ -98,7 +98,7 @@
     def seal_at_both(self):
         async def both():
             return await asyncio.gather(
-                *(ledger.seal(SIZE, BOUND) for ledger in self.ledgers)
+                *(ledger.seal_step(SIZE, BOUND) for ledger in self.ledgers)
             )
 
         for outcome in self.do(both()):
@@ -138,13 +138,13 @@
 
 def prepared(count=2, version=0):
     """Return a ledger with groups finished by one weight version."""
-    ledger = Ledger(builders.platform(builders.FaultyTables()), "t")
+    ledger = TrainerStore(builders.platform(builders.FaultyTables()), "t")
 
     async def prepare():
-        await ledger.submit([Group(str(n), "p") for n in range(count)])
-        for row, group in await ledger.groups():
-            await ledger.finish(row, group, [sample(group, version)])
-        await ledger.want(1, 0)
+        await ledger.accept_groups([Group(str(n), "p") for n in range(count)])
+        for row, group in await ledger.read_groups():
+            await ledger.finish_group(row, group, [sample(group, version)])
+        await ledger.request_step(1, 0)
 
     asyncio.run(prepare())
     return ledger
@@ -154,9 +154,9 @@
     ledger = prepared()
 
     async def work():
-        await ledger.want(1, 5)
-        assert isinstance(await ledger.seal(2, BOUND), Missing)
-        assert all(group.waits for _, group in await ledger.groups())
+        await ledger.request_step(1, 5)
+        assert isinstance(await ledger.seal_step(2, BOUND), Missing)
+        assert all(group.is_pending for _, group in await ledger.read_groups())
 
     asyncio.run(work())
 
@@ -165,9 +165,9 @@
     ledger = prepared()
 
     async def work():
-        trainee = await ledger.trainee()
-        pairs = await ledger.groups()
-        await ledger.want(1, 5)
+        trainee = await ledger.read_state()
+        pairs = await ledger.read_groups()
+        await ledger.request_step(1, 5)
         assert isinstance(await ledger.commit_step(trainee, pairs), Conflict)
 
     asyncio.run(work())
@@ -178,22 +178,22 @@
 
     async def work():
         ledger.tables.lose_next = 1
-        await ledger.seal(2, BOUND)
-        step = await ledger.seal(2, BOUND)
+        await ledger.seal_step(2, BOUND)
+        step = await ledger.seal_step(2, BOUND)
         assert isinstance(step, Step) and step.number == 1
-        assert len(await ledger.samples(step)) == 2
+        assert len(await ledger.read_samples(step)) == 2
 
     asyncio.run(work())
 
 
 def test_two_results_of_one_group_leave_one_sample():
-    ledger = Ledger(builders.platform(), "t")
+    ledger = TrainerStore(builders.platform(), "t")
 
     async def work():
-        await ledger.submit([Group("a", "p")])
-        ((row, group),) = await ledger.groups()
-        first = await ledger.finish(row, group, [sample(group, 0)])
-        second = await ledger.finish(row, group, [sample(group, 0)])
+        await ledger.accept_groups([Group("a", "p")])
+        ((row, group),) = await ledger.read_groups()
+        first = await ledger.finish_group(row, group, [sample(group, 0)])
+        second = await ledger.finish_group(row, group, [sample(group, 0)])
         assert isinstance(first, Committed) and isinstance(second, Conflict)
 
     asyncio.run(work())
@@ -203,12 +203,12 @@
     ledger = prepared()
 
     async def work():
-        step = await ledger.seal(2, BOUND)
-        await ledger.sweep(1)
-        await ledger.sweep(2)
-        assert isinstance(await ledger.samples(step), list)
-        await ledger.sweep(3)
-        assert isinstance(await ledger.step(1), Missing)
+        step = await ledger.seal_step(2, BOUND)
+        await ledger.remove_old_step(1)
+        await ledger.remove_old_step(2)
+        assert isinstance(await ledger.read_samples(step), list)
+        await ledger.remove_old_step(3)
+        assert isinstance(await ledger.read_step(1), Missing)
         assert not ledger.objects.data
 
     asyncio.run(work())
