--- a/soak/duties.py
+++ b/soak/duties.py
@@ -3,7 +3,7 @@
 import json
 
 from soak.deployment import Deployment
-from standins.users_cloud import Call, broken_promises
+from standins.users_cloud import Call, find_violations
 
 __all__ = ["check_duties"]
 
@@ -12,7 +12,7 @@
     """Return what one holder at a time would never have sent, and windows left out."""
     answer = await deployment.fetcher.fetch(deployment.cloud_address, "GET", "/seen")
     calls = [Call(**call) for call in json.loads(answer.body)]
-    wrong = broken_promises(calls)
+    wrong = find_violations(calls)
     told = {call.window for call in calls}
     if not told:
         return [*wrong, "no window was told"]
--- a/soak/positions.py
+++ b/soak/positions.py
@@ -1,9 +1,9 @@
 """Positions: where trainers saw a job's results, which may never change."""
 
-__all__ = ["Positions"]
+__all__ = ["PositionChecker"]
 
 
-class Positions:
+class PositionChecker:
     """What was read of one job so far, at all gateways.
 
     Parameters
@@ -14,10 +14,10 @@
     def __init__(self, job: str):
         self.job = job
         # Positions by item, and results by position; both have one where all is well.
-        self.places: dict[str, list[int]] = {}
-        self.held: dict[int, list[dict]] = {}
+        self.positions_by_item: dict[str, list[int]] = {}
+        self.results_by_position: dict[int, list[dict]] = {}
 
-    def take(self, after: int, results: list[dict], reader: str) -> list[str]:
+    def check_page(self, after: int, results: list[dict], reader: str) -> list[str]:
         """Take results that stand from a position on; return what is wrong.
 
         What is wrong is told once, however often it is read.
@@ -31,14 +31,14 @@
         """
         wrong = []
         for position, result in enumerate(results, after):
-            told = self.take_place(position, result["id"])
-            told += self.take_result(position, result)
+            told = self.check_position(position, result["id"])
+            told += self.check_result(position, result)
             wrong += [f"{self.job}: {text}, by {reader}" for text in told]
         return wrong
 
-    def take_place(self, position: int, item: str) -> list[str]:
+    def check_position(self, position: int, item: str) -> list[str]:
         """Return what is wrong with the position of an item."""
-        places = self.places.setdefault(item, [])
+        places = self.positions_by_item.setdefault(item, [])
         if position in places:
             return []
         places.append(position)
@@ -46,9 +46,9 @@
             return []
         return [f"{item} stands at position {position} and at {places[0]}"]
 
-    def take_result(self, position: int, result: dict) -> list[str]:
+    def check_result(self, position: int, result: dict) -> list[str]:
         """Return what is wrong with the result at a position."""
-        held = self.held.setdefault(position, [])
+        held = self.results_by_position.setdefault(position, [])
         if result in held:
             return []
         held.append(result)
--- a/soak/workload.py
+++ b/soak/workload.py
@@ -10,7 +10,7 @@
 from gypsumshift.httpclient import Fetcher, FetchError
 from soak.deployment import FRONT, Deployment
 from soak.keys import Keys
-from soak.positions import Positions
+from soak.positions import PositionChecker
 from standins.users_documents import HOST, job_body, results_target
 from standins.users_worker import plain_answer
 
@@ -37,7 +37,7 @@
     jobs : dict
         Items by accepted job.
     positions : dict
-        `Positions` by job, from what was read.
+        `PositionChecker` by job, from what was read.
     served : int
     """
 
@@ -45,7 +45,7 @@
     refused: set[str] = attrs.field(factory=set)
     once: set[str] = attrs.field(factory=set)
     jobs: dict[str, set[str]] = attrs.field(factory=dict)
-    positions: dict[str, Positions] = attrs.field(factory=dict)
+    positions: dict[str, PositionChecker] = attrs.field(factory=dict)
     served: int = 0
 
 
@@ -140,7 +140,7 @@
             if not self.seen.jobs:
                 continue
             job = self.reads.choice(list(self.seen.jobs)[-RECENT:])
-            after = self.reads.randint(0, len(self.known(job).held))
+            after = self.reads.randint(0, len(self.known(job).results_by_position))
             gateway = self.reads.choice(self.deployment.of_kind("gateway"))
             answer = await self.ask_results(job, after, gateway)
             if answer is not None and answer[0] == 200:
@@ -151,14 +151,14 @@
         target = results_target(job, after)
         return await self.ask("GET", target, self.new_id(), gateway=gateway)
 
-    def known(self, job: str) -> Positions:
+    def known(self, job: str) -> PositionChecker:
         """Return what was read of a job."""
-        return self.seen.positions.setdefault(job, Positions(job))
+        return self.seen.positions.setdefault(job, PositionChecker(job))
 
     def take_page(self, job: str, after: int, content: bytes, reader: str) -> list:
         """Take results of a job from a position on, and return them."""
         results = json.loads(content)["results"]
-        self.seen.wrong += self.known(job).take(after, results, reader)
+        self.seen.wrong += self.known(job).check_page(after, results, reader)
         return results
 
     async def read(self, job: str, gateway) -> list[dict]:
--- a/standins/users_cloud.py
+++ b/standins/users_cloud.py
@@ -20,10 +20,10 @@
     json_response,
 )
 
-__all__ = ["Call", "Faults", "UsersCloud", "broken_promises"]
+__all__ = ["Call", "Faults", "FakeCloudApi", "find_violations"]
 
 # Seconds within which A, B, A may not act in this order.
-TURN = 3.0
+MIN_RETURN_S = 3.0
 
 
 @attrs.define
@@ -65,13 +65,13 @@
     counts: dict[str, int]
 
 
-async def cut():
+async def cut_connection():
     """Yield nothing: the connection is cut instead of an answer."""
     raise ResponseAborted("the answer is lost")
     yield b""
 
 
-class UsersCloud:
+class FakeCloudApi:
     """The platform's interface behind one HTTP server.
 
     Attributes
@@ -102,10 +102,12 @@
         call = Call(time.time(), host, fence, value["window"], value["counts"])
         self.calls.append(call)
         await asyncio.sleep(self.faults.slow)
-        return Response(200, [], cut()) if self.faults.lose else Response(200)
+        return (
+            Response(200, [], cut_connection()) if self.faults.lose else Response(200)
+        )
 
 
-def broken_promises(calls: list[Call]) -> list[str]:
+def find_violations(calls: list[Call]) -> list[str]:
     """Return what one holder at a time would never have sent."""
     wrong = []
     counts: dict[int, dict] = {}
@@ -124,14 +126,14 @@
             turns.append(call)
         if len(turns) > 2 and turns[-3].host == call.host:
             passed = call.at - turns[-3].at
-            if passed < TURN:
+            if passed < MIN_RETURN_S:
                 wrong.append(f"{call.host} acts again after {passed:.1f} s")
     return wrong
 
 
 async def run(ip: str, port: int) -> None:
     """Serve until cancelled."""
-    cloud = UsersCloud()
+    cloud = FakeCloudApi()
     await cloud.server.listen(ip, port)
     await asyncio.Event().wait()
 
--- a/standins/users_worker.py
+++ b/standins/users_worker.py
@@ -25,13 +25,13 @@
     json_response,
 )
 
-__all__ = ["UsersWorker", "event_text", "plain_answer", "put_row"]
+__all__ = ["FakeWorker", "event_text", "plain_answer", "put_row"]
 
-HEARTBEAT = 0.6
-LOAD_SECONDS = 0.3
+HEARTBEAT_PERIOD_S = 0.6
+LOAD_TIME_S = 0.3
 # Seconds into a request under which a worker ends.
-FATAL_AFTER = 0.1
-NOT_RUN = [("not-run", "1")]
+CRASH_DELAY_S = 0.1
+NOT_RUN_HEADERS = [("not-run", "1")]
 
 
 def event_text(item: str, number: int) -> str:
@@ -39,7 +39,7 @@
     return hashlib.sha256(f"{item}/{number}".encode()).hexdigest()[:24]
 
 
-async def lost():
+async def cut_connection():
     """Yield nothing: the connection is cut instead of an answer."""
     raise ResponseAborted("the answer is lost")
     yield b""
@@ -50,7 +50,7 @@
     return hashlib.sha256(request_id.encode()).hexdigest().encode()
 
 
-class UsersWorker:
+class FakeWorker:
     """One worker.
 
     Parameters
@@ -89,23 +89,23 @@
         self.pause = pause
         self.id = f"i-{random.SystemRandom().getrandbits(32):08x}"
         self.born = int(time.time() * 1000)
-        self.beats = 0
+        self.entry_writes = 0
         self.running = 0
         self.orders = 0
         self.busy = False
         self.state = "ready"
         self.runs: list[dict] = []
-        self.file = None
-        self.breaks: list[int] = []
+        self.run_log = None
+        self.break_at_events: list[int] = []
         self.loses_answers = False
         self.fatal = b""
         self.on_fatal: Callable[[], None] = lambda: os._exit(1)
         self.server = HttpServer(self.serve)
 
-    def start_again(self) -> None:
+    def restart(self) -> None:
         """Become another start under the same id, which knows nothing of before."""
         self.born = max(int(time.time() * 1000), self.born + 1)
-        self.beats = 0
+        self.entry_writes = 0
         self.orders = 0
         self.busy = False
         self.state = "ready"
@@ -123,17 +123,17 @@
         if wanted and wanted != self.id:
             return Response(421, [("instance-id", self.id)])
         if request.path == "/gypsumshift/order":
-            return await self.order(json.loads(request.body))
+            return await self.accept_order(json.loads(request.body))
         if self.running >= self.slots:
-            return Response(503, NOT_RUN)
-        return await self.work(request)
+            return Response(503, NOT_RUN_HEADERS)
+        return await self.run_request(request)
 
-    def note(self, run: dict) -> None:
+    def record_run(self, run: dict) -> None:
         """Keep what is run, also on a file that outlives the process."""
         self.runs.append(run)
-        if self.file is not None:
-            self.file.write(json.dumps(run) + "\n")
-            self.file.flush()
+        if self.run_log is not None:
+            self.run_log.write(json.dumps(run) + "\n")
+            self.run_log.flush()
 
     def report(self) -> dict:
         """Return what the worker says of itself."""
@@ -148,24 +148,24 @@
             "born": self.born,
         }
 
-    async def order(self, order: dict) -> Response:
+    async def accept_order(self, order: dict) -> Response:
         """Take an order to load weights."""
         if "holder" not in order or "fence" not in order:
-            return Response(400, NOT_RUN)
+            return Response(400, NOT_RUN_HEADERS)
         if self.busy or order.get("expected", self.orders) != self.orders:
             return Response(409)
         self.orders += 1
         self.busy = True
-        self.note({"order": order, "at": time.time()})
-        asyncio.get_running_loop().call_later(LOAD_SECONDS, self.loaded, order)
+        self.record_run({"order": order, "at": time.time()})
+        asyncio.get_running_loop().call_later(LOAD_TIME_S, self.finish_load, order)
         return Response(202)
 
-    def loaded(self, order: dict) -> None:
+    def finish_load(self, order: dict) -> None:
         """Have the weights of an order in place."""
         self.busy = False
         self.models[order["model"]] = order["version"]
 
-    async def work(self, request: Request) -> Response:
+    async def run_request(self, request: Request) -> Response:
         """Run a request."""
         request_id = request.header("request-id")
         after = int(request.header("last-event-id", "0"))
@@ -175,8 +175,8 @@
         fatal = bool(self.fatal) and self.fatal in request.body
         if fatal:
             run["fatal"] = request.body.decode("latin-1")
-            asyncio.get_running_loop().call_later(FATAL_AFTER, self.on_fatal)
-        self.note(run)
+            asyncio.get_running_loop().call_later(CRASH_DELAY_S, self.on_fatal)
+        self.record_run(run)
         headers = [
             ("request-id", request_id),
             ("server-stamp", f"{self.id}.{request_id}"),
@@ -185,19 +185,19 @@
         if not self.models:
             self.running += 1
             try:
-                await asyncio.sleep(FATAL_AFTER * 10 if fatal else self.pause)
+                await asyncio.sleep(CRASH_DELAY_S * 10 if fatal else self.pause)
             finally:
                 self.running -= 1
             if self.loses_answers:
-                return Response(200, headers, lost())
+                return Response(200, headers, cut_connection())
             run["end"] = "whole"
             return Response(200, headers, plain_answer(request_id))
         model = next(iter(self.models))
         headers.append(("weight-versions", str(self.models[model])))
         headers.append(("content-type", "text/event-stream"))
-        return Response(200, headers, self.stream(run, request_id, after, model))
+        return Response(200, headers, self.stream_events(run, request_id, after, model))
 
-    async def stream(self, run: dict, item: str, after: int, model: str):
+    async def stream_events(self, run: dict, item: str, after: int, model: str):
         """Yield the events of an item."""
         version = self.models[model]
         self.running += 1
@@ -209,8 +209,8 @@
                     version = self.models[model]
                     changed = f"weight-versions: {version}\n"
                 text = event_text(item, number)
-                if self.breaks and self.breaks[0] == number:
-                    del self.breaks[0]
+                if self.break_at_events and self.break_at_events[0] == number:
+                    del self.break_at_events[0]
                     yield f"id: {number}\ndata: {text[:5]}".encode()
                     raise ResponseAborted("broken off")
                 yield f"{changed}id: {number}\ndata: {text}\n\n".encode()
@@ -220,12 +220,12 @@
         finally:
             self.running -= 1
 
-    def entry(self, address: str) -> dict:
+    def table_entry(self, address: str) -> dict:
         """Return what the worker writes of itself into the store."""
-        self.beats += 1
+        self.entry_writes += 1
         return {
             "born": self.born,
-            "seq": self.beats,
+            "seq": self.entry_writes,
             "cold_left_ms": 0,
             "service": self.service,
             "addr": address,
@@ -257,15 +257,15 @@
     return answer.status == 200
 
 
-async def run(worker: UsersWorker, ip: str, port: int, store: str) -> None:
+async def run(worker: FakeWorker, ip: str, port: int, store: str) -> None:
     """Serve, and register in the store, until cancelled."""
     await worker.server.listen(ip, port)
     fetcher = Fetcher()
     store_address = parse_address(store)
     while True:
-        entry = worker.entry(f"{ip}:{port}")
+        entry = worker.table_entry(f"{ip}:{port}")
         await put_row(fetcher, store_address, ("servers", worker.id, entry))
-        await asyncio.sleep(HEARTBEAT)
+        await asyncio.sleep(HEARTBEAT_PERIOD_S)
 
 
 def main(
@@ -285,11 +285,11 @@
     ``fatal`` end it.
     """
     names = tuple(models.split(",")) if models else ()
-    worker = UsersWorker(service, names, slots)
+    worker = FakeWorker(service, names, slots)
     worker.id = name or worker.id
     worker.fatal = fatal.encode()
     if runs:
-        worker.file = open(runs, "a")
+        worker.run_log = open(runs, "a")
     asyncio.run(run(worker, ip, port, store))
 
 
--- a/tests/platform_world.py
+++ b/tests/platform_cluster.py
@@ -11,15 +11,15 @@
 from gypsumshift.httpclient import Fetcher
 from standins.deployment import free_port
 from standins.users_documents import HOST, config, results_target, settings_text
-from standins.users_store import UsersStore
-from standins.users_worker import UsersWorker
+from standins.users_store import FakeMetadataStore
+from standins.users_worker import FakeWorker
 
-FOLDER = pathlib.Path(__file__).resolve().parent.parent / "platform"
-if str(FOLDER) not in sys.path:
-    sys.path.append(str(FOLDER))
+ADAPTER_FOLDER = pathlib.Path(__file__).resolve().parent.parent / "platform"
+if str(ADAPTER_FOLDER) not in sys.path:
+    sys.path.append(str(ADAPTER_FOLDER))
 
 
-def end(worker):
+def crash_worker(worker):
     """End a worker as its process would: nobody listens, all connections break."""
     worker.server.listener.close()
     for task in worker.server.connections:
@@ -27,21 +27,21 @@
 
 
 @attrs.define
-class PlatformWorld:
+class PlatformCluster:
     """The users' platform with one gateway and one agent, in one process."""
 
-    store: UsersStore = attrs.field(factory=UsersStore)
-    app: UsersWorker = attrs.field(factory=lambda: UsersWorker("app"))
-    engine: UsersWorker = attrs.field(factory=lambda: UsersWorker("pool", ("m",)))
+    store: FakeMetadataStore = attrs.field(factory=FakeMetadataStore)
+    app: FakeWorker = attrs.field(factory=lambda: FakeWorker("app"))
+    engine: FakeWorker = attrs.field(factory=lambda: FakeWorker("pool", ("m",)))
     fetcher: Fetcher = attrs.field(factory=Fetcher)
     tasks: list = attrs.field(factory=list)
     store_port: int = 0
-    front: tuple = ()
-    ready: tuple = ()
+    front_address: tuple = ()
+    ready_address: tuple = ()
     gateway: object = None
     agent: object = None
     # Of the settings of both processes, beside the usual ones.
-    fields: dict = attrs.field(factory=dict)
+    extra_settings: dict = attrs.field(factory=dict)
 
     async def start(self, tmp_path):
         """Start everything; returns once callers are served."""
@@ -49,12 +49,12 @@
         import node_settings
 
         self.store_port = await self.store.server.listen("127.0.0.1", 0)
-        await self.store.put("op", "config", config())
+        await self.store.write_row("op", "config", config())
         for worker in (self.app, self.engine):
             await self.register(worker)
         engine_port = self.engine.server.listener.sockets[0].getsockname()[1]
         store = ("127.0.0.1", self.store_port)
-        listen = self.fields | {
+        listen = self.extra_settings | {
             "listen.front": "127.0.0.1:0",
             "listen.ready": "127.0.0.1:0",
         }
@@ -62,7 +62,10 @@
         front = tmp_path / "front.conf"
         front.write_text(settings_text("front", "127.0.0.1", store, **listen))
         self.gateway = main.new_gateway(node_settings.load(front))
-        engine = self.fields | {"app": f"127.0.0.1:{engine_port}", "service": "pool"}
+        engine = self.extra_settings | {
+            "app": f"127.0.0.1:{engine_port}",
+            "service": "pool",
+        }
         engine["port_range"] = f"{free_port()},0"
         side = tmp_path / "side.conf"
         side.write_text(settings_text("side", "127.0.0.1", store, **engine))
@@ -74,41 +77,43 @@
         ports = [
             port.server.listener.sockets[0].getsockname() for port in self.gateway.ports
         ]
-        self.front, self.ready = ports[:2]
+        self.front_address, self.ready_address = ports[:2]
         return self
 
     async def register(self, worker):
         if worker.server.listener is None:
             await worker.server.listen("127.0.0.1", 0)
         port = worker.server.listener.sockets[0].getsockname()[1]
-        await self.store.put("servers", worker.id, worker.entry(f"127.0.0.1:{port}"))
+        await self.store.write_row(
+            "servers", worker.id, worker.table_entry(f"127.0.0.1:{port}")
+        )
 
-    async def add_fragile(self, count, fatal=b"fatal"):
+    async def add_crashing_workers(self, count, fatal=b"fatal"):
         """Add workers of the application, each of which ends under a body."""
-        workers = [UsersWorker("app") for _ in range(count)]
+        workers = [FakeWorker("app") for _ in range(count)]
         for worker in workers:
             worker.fatal = fatal
-            worker.on_fatal = functools.partial(end, worker)
+            worker.on_fatal = functools.partial(crash_worker, worker)
             await self.register(worker)
         return workers
 
-    async def ask(self, method, target, request_id="r1", body=b"", **headers):
+    async def send_request(self, method, target, request_id="r1", body=b"", **headers):
         """Send a request to the gateway, return its answer."""
         fields = [("request-id", request_id)]
         fields += [(k.replace("_", "-"), v) for k, v in headers.items()]
         exchange = await self.fetcher.open(
-            self.front, method, target, fields, body, host=HOST
+            self.front_address, method, target, fields, body, host=HOST
         )
         content = await exchange.read()
         exchange.close()
         return exchange, content
 
-    async def results(self, job="job"):
+    async def read_results(self, job="job"):
         """Read all results of a job, page by page."""
         found, total = [], 1
         while len(found) < total:
             target = results_target(job, len(found))
-            exchange, content = await self.ask("GET", target, wait_ms="1000")
+            exchange, content = await self.send_request("GET", target, wait_ms="1000")
             assert exchange.status == 200, exchange.status
             page = json.loads(content)
             total = page["total"]
@@ -116,10 +121,10 @@
             assert page["next"] == len(found)
         return found
 
-    async def some_results(self, count, job="job"):
+    async def wait_for_results(self, count, job="job"):
         """Return the results of a job, once so many are listed."""
         while True:
-            exchange, content = await self.ask("GET", results_target(job))
+            exchange, content = await self.send_request("GET", results_target(job))
             results = json.loads(content)["results"]
             if len(results) >= count:
                 return results
@@ -131,16 +136,16 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-def knows(world, worker):
+def gateway_lists(world, worker):
     """Tell whether the gateway knows a worker."""
     return worker.id in world.gateway.directory.servers
 
 
-def play(test, tmp_path):
+def run_scenario(test, tmp_path):
     """Run a scenario on a world of its own."""
 
     async def run():
-        world = PlatformWorld()
+        world = PlatformCluster()
         try:
             async with asyncio.timeout(60):
                 await world.start(tmp_path)
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -17,7 +17,7 @@
 from standins.deployment import free_port
 from standins.users_documents import settings_text
 from tests.system import until
-from tests.test_platform import play
+from tests.test_platform import run_scenario
 
 TABLE = "settings"
 
@@ -134,8 +134,8 @@
         world.gateway.store.path.store = ("127.0.0.1", 1)
         world.tasks.append(asyncio.create_task(late.run()))
         await until(lambda: late.directory.routes.version and late.directory.servers)
-        world.front = late.ports[0].server.listener.sockets[0].getsockname()
-        exchange, _ = await world.ask("POST", "/app/1", "a1", b"hello")
+        world.front_address = late.ports[0].server.listener.sockets[0].getsockname()
+        exchange, _ = await world.send_request("POST", "/app/1", "a1", b"hello")
         assert exchange.status == 200
 
-    play(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
--- a/tests/test_fatal_dispatch.py
+++ b/tests/test_fatal_dispatch.py
@@ -13,7 +13,7 @@
 from gypsumshift.serving.quarantine import CRASH_LIMIT, TRIAL_DELAYS_S
 from tests import system
 from tests.builders import ManualClock
-from tests.platform_world import end
+from tests.platform_cluster import crash_worker
 from tests.system import until
 
 FATAL = b"fatal"
@@ -30,7 +30,7 @@
             if FATAL not in request.body:
                 return await serve(request)
             crashed.append(server)
-            end(server)
+            crash_worker(server)
             await asyncio.Event().wait()
 
         setattr(server, name, fragile)
--- a/tests/test_fatal_platform.py
+++ b/tests/test_fatal_platform.py
@@ -8,32 +8,38 @@
 from gypsumshift import traces
 from standins.users_documents import job_body
 from tests.builders import ManualClock
-from tests.platform_world import knows, play
+from tests.platform_cluster import gateway_lists, run_scenario
 from tests.system import until
 
 
 def test_a_fatal_request_is_held_back_and_its_trace_lists_the_crashes(tmp_path):
     async def scenario(world):
-        await world.store.put("servers", world.app.id, None)
-        workers = await world.add_fragile(4)
-        await until(lambda: not knows(world, world.app))
-        await until(lambda: all(knows(world, worker) for worker in workers))
+        await world.store.write_row("servers", world.app.id, None)
+        workers = await world.add_crashing_workers(4)
+        await until(lambda: not gateway_lists(world, world.app))
+        await until(lambda: all(gateway_lists(world, worker) for worker in workers))
         # A stopped clock, so that no trial becomes due on a slow machine.
         stopped = ManualClock()
         stopped.seconds = world.gateway.clock.monotonic()
         world.gateway.guard.quarantine.clock = stopped
-        exchange, _ = await world.ask("POST", "/app/1", "f1", b"fatal", key="secret")
+        exchange, _ = await world.send_request(
+            "POST", "/app/1", "f1", b"fatal", key="secret"
+        )
         assert exchange.status == 502, "it ran, so it is not reported as not run"
-        await world.ask("POST", "/app/1", "f2", b"fatal", key="secret")
-        exchange, _ = await world.ask("POST", "/app/1", "f3", b"fatal", key="secret")
+        await world.send_request("POST", "/app/1", "f2", b"fatal", key="secret")
+        exchange, _ = await world.send_request(
+            "POST", "/app/1", "f3", b"fatal", key="secret"
+        )
         assert exchange.status == 503 and float(exchange.header(b"retry-after")) > 0
         runs = [run["request"] for worker in workers for run in worker.runs]
         assert len(runs) == 3 and "f3" not in runs
-        exchange, _ = await world.ask("POST", "/app/1", "sound", b"sound", key="secret")
+        exchange, _ = await world.send_request(
+            "POST", "/app/1", "sound", b"sound", key="secret"
+        )
         assert exchange.status == 200
 
     with logbook.TestHandler(level="INFO") as handler:
-        play(scenario, tmp_path)
+        run_scenario(scenario, tmp_path)
     lines = [{"message": r.message, **r.extra} for r in handler.records]
     written = "\n".join(json.dumps(line, default=str) for line in lines)
     (tmp_path / "gateway.log").write_text(written)
@@ -47,17 +53,17 @@
 
 def test_items_and_reward_calls_that_crash_servers_delay_no_others(tmp_path):
     async def scenario(world):
-        await world.store.put("servers", world.app.id, None)
-        await until(lambda: not knows(world, world.app))
-        await world.add_fragile(4)
+        await world.store.write_row("servers", world.app.id, None)
+        await until(lambda: not gateway_lists(world, world.app))
+        await world.add_crashing_workers(4)
         body = json.loads(job_body("job"))
         fatal = base64.b64encode(b"fatal").decode()
         body["requests"][0]["scorer"]["body"] = fatal
-        exchange, _ = await world.ask(
+        exchange, _ = await world.send_request(
             "POST", "/batch/1", "job", json.dumps(body).encode()
         )
         assert exchange.status == 202
-        done = await world.some_results(3)
+        done = await world.wait_for_results(3)
         assert {result["id"] for result in done} == {"job-0-1", "job-1-0", "job-1-1"}
 
-    play(scenario, tmp_path)
+    run_scenario(scenario, tmp_path)
--- a/tests/test_server_entry.py
+++ b/tests/test_server_entry.py
@@ -14,7 +14,7 @@
 
 from gypsumshift.platforms import Changes, Row
 from gypsumshift.serving import Directory
-from tests import platform_world  # noqa: F401  (puts the adapter on the path)
+from tests import platform_cluster  # noqa: F401  (puts the adapter on the path)
 from tests.builders import ManualClock
 from tests.job_builders import engine_table_entry
 
@@ -22,15 +22,15 @@
 
 
 def make_feed():
-    import documents
+    import directory_feed
 
     directory = Directory()
-    feed = documents.DirectoryFeed(directory, None, ManualClock())
-    feed.servers.version = 0
+    feed = directory_feed.DirectoryFeed(directory, None, ManualClock())
+    feed.servers_watch.version = 0
     return directory, feed
 
 
-def tell(feed, *rows):
+def apply_rows(feed, *rows):
     """Tell changes as the store sends them: the key with its bytes."""
     import row_store
 
@@ -39,20 +39,22 @@
             "table": "servers",
             "part": "",
             "key": key,
-            "ver": feed.servers.version + number,
+            "ver": feed.servers_watch.version + number,
             "value": base64.b64encode(data).decode(),
         }
         for number, (key, data) in enumerate(rows, 1)
     ]
-    decoded = [row_store.decode(row) for row in raw]
-    feed.servers.apply_answer(Changes(decoded, feed.servers.version + len(rows)))
+    decoded = [row_store.decode_row(row) for row in raw]
+    feed.servers_watch.apply_answer(
+        Changes(decoded, feed.servers_watch.version + len(rows))
+    )
 
 
 def encoded(value):
     return json.dumps(value).encode()
 
 
-FOREIGN = [
+INVALID_ENTRIES = [
     b"",
     b"\xff\xfe",
     b"{",
@@ -98,33 +100,33 @@
 ]
 
 
-@pytest.mark.parametrize("data", FOREIGN)
+@pytest.mark.parametrize("data", INVALID_ENTRIES)
 def test_a_foreign_entry_names_no_server_and_those_beside_it_hold(data):
     directory, feed = make_feed()
-    tell(feed, ("e1", encoded(engine_table_entry())))
+    apply_rows(feed, ("e1", encoded(engine_table_entry())))
     assert set(directory.servers) == {"e1"}
-    tell(feed, ("e1", data), ("e2", encoded(OTHER)))
+    apply_rows(feed, ("e1", data), ("e2", encoded(OTHER)))
     assert set(directory.servers) == {"e2"}
-    tell(feed, ("e1", encoded(engine_table_entry())))
+    apply_rows(feed, ("e1", encoded(engine_table_entry())))
     assert set(directory.servers) == {"e1", "e2"}
 
 
 def test_an_entry_without_a_start_is_foreign_once_its_server_told_one():
     directory, feed = make_feed()
-    tell(feed, ("e1", encoded(engine_table_entry())))
-    tell(feed, ("e1", encoded(engine_table_entry(born=5))))
+    apply_rows(feed, ("e1", encoded(engine_table_entry())))
+    apply_rows(feed, ("e1", encoded(engine_table_entry(born=5))))
     assert directory.servers["e1"].born == 5
-    tell(feed, ("e1", encoded(engine_table_entry())))
+    apply_rows(feed, ("e1", encoded(engine_table_entry())))
     assert not directory.servers
 
 
 def test_a_foreign_entry_is_said_once_for_each_reason():
     directory, feed = make_feed()
     for number in range(3):
-        tell(feed, ("e1", encoded(engine_table_entry(slots="x", seq=number))))
-    assert len(feed.foreign) == 1
-    tell(feed, ("e1", encoded(engine_table_entry())))
-    assert not feed.foreign
+        apply_rows(feed, ("e1", encoded(engine_table_entry(slots="x", seq=number))))
+    assert len(feed.invalid_entries) == 1
+    apply_rows(feed, ("e1", encoded(engine_table_entry())))
+    assert not feed.invalid_entries
 
 
 JSON = st.recursive(
@@ -158,8 +160,10 @@
 @given(mutated() | st.binary(max_size=40))
 def test_whatever_stands_in_an_entry_it_names_a_server_or_none(data):
     directory, feed = make_feed()
-    tell(feed, ("e1", encoded(engine_table_entry(born=9))), ("e3", encoded(OTHER)))
-    tell(feed, ("e1", data), ("e2", encoded(OTHER)))
+    apply_rows(
+        feed, ("e1", encoded(engine_table_entry(born=9))), ("e3", encoded(OTHER))
+    )
+    apply_rows(feed, ("e1", data), ("e2", encoded(OTHER)))
     assert {"e2", "e3"} <= set(directory.servers)
     for server in directory.servers.values():
         assert type(server.slots) is int and server.slots > 0
@@ -178,5 +182,7 @@
         for key in ("config", "version/m", "other")
         for known in ({}, {"version": 3, "routes": [], "services": None})
     ]
-    feed.take_operator([*rows, Row("op", "version/n", 2, {"model": "n", "version": 4})])
+    feed.apply_operator_rows(
+        [*rows, Row("op", "version/n", 2, {"model": "n", "version": 4})]
+    )
     assert directory.newest_versions["n"] == 4
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -25,11 +25,11 @@
     UsageReporter,
 )
 from standins.users_cloud import Call as Told
-from standins.users_cloud import Faults, UsersCloud, broken_promises
+from standins.users_cloud import FakeCloudApi, Faults, find_violations
 from standins.users_documents import config, job_body
-from standins.users_worker import UsersWorker
+from standins.users_worker import FakeWorker
 from tests.builders import FaultyTables, ManualClock
-from tests.platform_world import PlatformWorld
+from tests.platform_cluster import PlatformCluster
 from tests.system import until
 
 WIDTH = datetime.timedelta(seconds=5)
@@ -270,10 +270,10 @@
 
 async def gateway_counts(tmp_path, scenario):
     """Play a scenario on a platform world whose gateway counts; return its counts."""
-    cloud = UsersCloud()
+    cloud = FakeCloudApi()
     port = await cloud.server.listen("127.0.0.1", 0)
-    world = PlatformWorld(
-        fields={
+    world = PlatformCluster(
+        extra_settings={
             "cloud_api.addr": f"127.0.0.1:{port}",
             "cloud_api.duties": "usage,scale",
             "bounds.report_window_s": "1",
@@ -283,7 +283,7 @@
         async with asyncio.timeout(60):
             await world.start(tmp_path)
             value = config(2, workspaces={"one": ["k1"], "two": ["k2"]})
-            await world.store.put("op", "config", value)
+            await world.store.write_row("op", "config", value)
             await until(lambda: world.gateway.directory.routes.version == 2)
             await scenario(world, cloud)
             windows = world.gateway.accounting.counter.counts_by_window.values()
@@ -302,17 +302,17 @@
 def test_a_request_counts_once_for_its_workspace(tmp_path):
     async def scenario(world, cloud):
         for number in range(3):
-            await world.ask("POST", "/app/1", f"a{number}", key="k1")
-        await world.ask("POST", "/flow/1", "s", key="k2")
+            await world.send_request("POST", "/app/1", f"a{number}", key="k1")
+        await world.send_request("POST", "/flow/1", "s", key="k2")
 
     assert count(tmp_path, scenario) == {"one": 3, "two": 1}
 
 
 def test_public_routes_and_wrong_keys_and_items_do_not_count(tmp_path):
     async def scenario(world, cloud):
-        await world.ask("POST", "/score/1", "p")
-        await world.ask("POST", "/app/1", "w", key="wrong")
-        await world.ask("POST", "/batch/1", "job", job_body("job"), key="k1")
+        await world.send_request("POST", "/score/1", "p")
+        await world.send_request("POST", "/app/1", "w", key="wrong")
+        await world.send_request("POST", "/batch/1", "job", job_body("job"), key="k1")
         await until(lambda: len([r for r in world.engine.runs if "end" in r]) >= 4)
 
     assert count(tmp_path, scenario) == {"one": 0, "two": 0}
@@ -321,7 +321,7 @@
 def test_what_servers_refuse_does_not_count(tmp_path):
     async def scenario(world, cloud):
         world.app.slots = 0
-        exchange, _ = await world.ask("POST", "/app/1", "a", key="k1")
+        exchange, _ = await world.send_request("POST", "/app/1", "a", key="k1")
         assert exchange.status == 503
 
     assert count(tmp_path, scenario) == {"one": 0, "two": 0}
@@ -329,11 +329,11 @@
 
 def test_a_request_that_ran_twice_counts_once_and_one_without_an_answer_too(tmp_path):
     async def scenario(world, cloud):
-        other = UsersWorker("app")
+        other = FakeWorker("app")
         await world.register(other)
         await until(lambda: other.id in world.gateway.directory.servers)
         world.app.loses_answers = other.loses_answers = True
-        exchange, _ = await world.ask("POST", "/app/1", "a", key="k1")
+        exchange, _ = await world.send_request("POST", "/app/1", "a", key="k1")
         assert exchange.status == 502
         assert len(world.app.runs) + len(other.runs) == 2
 
@@ -343,7 +343,7 @@
 def test_reports_reach_the_platform_through_its_faults(tmp_path):
     async def scenario(world, cloud):
         for number in range(5):
-            await world.ask("POST", "/app/1", f"a{number}", key="k1")
+            await world.send_request("POST", "/app/1", f"a{number}", key="k1")
         cloud.faults = Faults(status=429)
         await asyncio.sleep(2)
         cloud.faults = Faults(lose=True)
@@ -355,7 +355,7 @@
             return sum(counts.get("one", 0) for counts in windows.values())
 
         await until(lambda: told() == 5)
-        assert not broken_promises(cloud.calls)
+        assert not find_violations(cloud.calls)
 
     assert count(tmp_path, scenario)["one"] == 5
 
@@ -382,11 +382,11 @@
         Told(1.5, "c", 2, 8, {}),
         Told(2.0, "b", 1, 9, {}),
     ]
-    assert broken_promises(calls) == [
+    assert find_violations(calls) == [
         "two reports of window 7",
         "two hosts with the number 2",
         "two hosts with the number 1",
         "1 of b behind 2",
         "b acts again after 1.0 s",
     ]
-    assert not broken_promises([calls[0], calls[0]])
+    assert not find_violations([calls[0], calls[0]])
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -13,7 +13,7 @@
 from gypsumshift.watch import BATCH_INTERVAL_S, MAX_FEED_WAIT, MAX_FOLLOWED_GAP_S, Watch
 from tests.builders import ManualClock
 from tests.job_builders import JobCluster
-from tests.platform_world import FOLDER
+from tests.platform_cluster import ADAPTER_FOLDER
 from tests.test_agent import scenario
 
 TABLE = "servers"
@@ -77,12 +77,12 @@
 
 
 def test_servers_that_leave_are_known_well_before_they_may_get_no_requests():
-    assert FOLDER.is_dir()
-    from documents import SERVERS_GATHER, DirectoryFeed
+    assert ADAPTER_FOLDER.is_dir()
+    from directory_feed import SERVERS_BATCH_INTERVAL_S, DirectoryFeed
 
     feed = DirectoryFeed(Directory(), MemoryTables(), ManualClock())
-    assert feed.servers.batch_interval == SERVERS_GATHER <= LEAVING / 4
-    assert feed.operator.batch_interval == BATCH_INTERVAL_S, (
+    assert feed.servers_watch.batch_interval == SERVERS_BATCH_INTERVAL_S <= LEAVING / 4
+    assert feed.operator_watch.batch_interval == BATCH_INTERVAL_S, (
         "a configuration is in force at once"
     )
 
@@ -99,11 +99,11 @@
 
 def test_a_table_counts_as_heard_between_its_rarest_answers():
     """Else nobody's silence would ever count: no process that is gone was forgotten."""
-    assert FOLDER.is_dir()
-    from row_store import FEED_SLACK
+    assert ADAPTER_FOLDER.is_dir()
+    from row_store import FEED_SLACK_S
 
     assert (
-        NEIGHBOURS_GATHER + MAX_FEED_WAIT.total_seconds() + FEED_SLACK
+        NEIGHBOURS_GATHER + MAX_FEED_WAIT.total_seconds() + FEED_SLACK_S
         < MAX_FOLLOWED_GAP_S
     )
 
