--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -13,7 +13,7 @@
 from gypsumshift.watch import BATCH_INTERVAL_S, MAX_FEED_WAIT, MAX_FOLLOWED_GAP_S, Watch
 from tests.builders import ManualClock
 from tests.job_builders import JobCluster
-from tests.platform_world import FOLDER
+from tests.platform_cluster import ADAPTER_FOLDER
 from tests.test_agent import scenario
 
 TABLE = "servers"
@@ -83,12 +83,16 @@
 
 
 def test_servers_interval_is_well_below_drain_delay():
-    assert FOLDER.is_dir()
-    from documents import SERVERS_GATHER, DirectoryFeed
+    assert ADAPTER_FOLDER.is_dir()
+    from directory_feed import SERVERS_BATCH_INTERVAL_S, DirectoryFeed
 
     feed = DirectoryFeed(Directory(), MemoryTables(), ManualClock())
-    assert feed.servers.batch_interval == SERVERS_GATHER <= MAX_DRAIN_DELAY_S / 4
-    assert feed.operator.batch_interval == BATCH_INTERVAL_S, (
+    assert (
+        feed.servers_watch.batch_interval
+        == SERVERS_BATCH_INTERVAL_S
+        <= MAX_DRAIN_DELAY_S / 4
+    )
+    assert feed.operator_watch.batch_interval == BATCH_INTERVAL_S, (
         "a configuration must be applied without delay"
     )
 
@@ -105,11 +109,11 @@
 
 def test_table_counts_as_followed_at_longest_time_between_answers():
     """Otherwise no time would count, and entries of gone processes would stay."""
-    assert FOLDER.is_dir()
-    from row_store import FEED_SLACK
+    assert ADAPTER_FOLDER.is_dir()
+    from row_store import FEED_SLACK_S
 
     assert (
-        NEIGHBOURS_GATHER + MAX_FEED_WAIT.total_seconds() + FEED_SLACK
+        NEIGHBOURS_GATHER + MAX_FEED_WAIT.total_seconds() + FEED_SLACK_S
         < MAX_FOLLOWED_GAP_S
     )
 
