--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -7,7 +7,7 @@
 
 from gypsumshift.jobs.heartbeatwriter import HEARTBEAT_PERIOD
 from gypsumshift.memory import MemoryTables
-from gypsumshift.neighbours import NEIGHBOURS_BATCH_INTERVAL_S as NEIGHBOURS_GATHER
+from gypsumshift.neighbours import NEIGHBOURS_BATCH_INTERVAL_S
 from gypsumshift.platforms import Changes, Row, Write
 from gypsumshift.serving import Directory
 from gypsumshift.watch import BATCH_INTERVAL_S, MAX_FEED_WAIT, MAX_FOLLOWED_GAP_S, Watch
@@ -113,7 +113,7 @@
     from row_store import FEED_SLACK_S
 
     assert (
-        NEIGHBOURS_GATHER + MAX_FEED_WAIT.total_seconds() + FEED_SLACK_S
+        NEIGHBOURS_BATCH_INTERVAL_S + MAX_FEED_WAIT.total_seconds() + FEED_SLACK_S
         < MAX_FOLLOWED_GAP_S
     )
 
