--- a/gypsumshift/accounting.py
+++ b/gypsumshift/accounting.py
@@ -1,4 +1,4 @@
-"""Accounting: the parts of a process that count usage, write it and have it told."""
+"""Accounting: the components of a process that count, store and report usage."""
 
 import datetime
 import random
@@ -16,20 +16,20 @@
 
 __all__ = ["Accounting", "new_accounting"]
 
-# Names the lease of whoever tells the usage.
+# Name of the lease that the process reporting usage holds.
 USAGE_LEASE_NAME = "usage"
 
 
 @attrs.frozen
 class Accounting:
-    """What one process does about usage.
+    """Usage accounting of one process.
 
     Attributes
     ----------
     counter : UsageCounter
-    log : UsageLog
-    duty : Duty
-        Of telling the usage of all processes.
+    writer : UsageWriter
+    duty : DutyRunner
+        Runs the duty of reporting the usage of all processes.
     """
 
     counter: UsageCounter
@@ -37,13 +37,13 @@
     duty: DutyRunner
 
     def background_tasks(self) -> list[Coroutine]:
-        """Return what is to run until it is cancelled."""
+        """Return the coroutines to run until cancelled."""
         return [self.writer.run(), self.duty.run()]
 
     async def stop_duty(self) -> None:
-        """Have another process tell the usage.
+        """Release the duty, so that another process reports the usage.
 
-        What is counted from now on is written until the process ends.
+        This process goes on counting and writing its counts until it exits.
         """
         await self.duty.stop()
 
@@ -57,16 +57,16 @@
     chance: random.Random,
     metrics: Metrics,
 ) -> Accounting:
-    """Return the parts of one process.
+    """Return the usage accounting of one process.
 
     Parameters
     ----------
     store : RowStore
     receiver : ReportReceiver
     host : str
-        On which this process runs.
-    width : timedelta
-        Of a window of time.
+        Host that this process runs on.
+    window_width : timedelta
+        Length of a time window.
     clock : Clock
     chance : random.Random
     metrics : Metrics
--- a/gypsumshift/agentnode.py
+++ b/gypsumshift/agentnode.py
@@ -1,4 +1,4 @@
-"""Agent node: the process beside a model engine."""
+"""Agent node: the process that runs the agent of a model engine."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 
 class AgentNode(Node):
-    """Runs an agent with what it needs.
+    """Process that runs an agent and the components that the agent needs.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
     store : RowStore
     directory : Directory
     watches : list of Watch
-        Keep the directory current.
+        Keep the directory up to date.
     names : HeaderNames
     protocol : EngineProtocol
     zone : str
@@ -40,7 +40,7 @@
     policy : Policy
     liveness : LivenessProbe
     store_writes : float
-        Writes a second that the store takes from all processes.
+        Maximum number of writes a second that the store accepts from all processes.
     """
 
     def __init__(
@@ -86,19 +86,23 @@
         )
 
     def background_tasks(self):
-        """Return what the agent does until it is cancelled."""
+        """Return the coroutines of the agent and of the crash guard."""
         return [self.agent.run(), self.guard.run()]
 
     async def sweep(self) -> None:
-        """Forget what is gone or too old."""
+        """Remove outdated data about servers and crashes."""
         await super().sweep()
         self.guard.sweep()
 
     async def drain(self, grace: float) -> None:
-        """Give the work back, within ``grace`` seconds."""
+        """Release the agent's units of work within ``grace`` seconds."""
         try:
             async with asyncio.timeout(grace):
                 await self.agent.drain()
         except TimeoutError:
-            # What could not be given back is free once the heartbeats stop.
-            log.warning("Not all work was given back in {:.1f} s.", grace)
+            # Other agents claim the remaining units once the heartbeats have stopped.
+            log.warning(
+                "Not all units were released within {:.1f} s; other agents claim them "
+                "once the heartbeats have stopped.",
+                grace,
+            )
--- a/gypsumshift/bearer.py
+++ b/gypsumshift/bearer.py
@@ -1,4 +1,4 @@
-"""Bearer: what a request proves its right with (RFC 6750)."""
+"""Bearer tokens of requests (RFC 6750)."""
 
 from gypsumshift.httpserver import Request, Response, problem_response
 from gypsumshift.workspaces import Workspaces, key_digest
@@ -7,12 +7,15 @@
 
 
 def bearer_token(request: Request) -> str:
-    """Return the token of a request; empty for none."""
+    """Return the bearer token of a request; empty if there is none."""
     return request.header("authorization").removeprefix("Bearer ").strip()
 
 
 def has_workspace_key(request: Request, workspace: str, keys: Workspaces) -> bool:
-    """Tell whether a request bears a key, where its workspace wants one."""
+    """Return whether a request may use a workspace.
+
+    This is the case if it carries a key of the workspace, or the workspace has no keys.
+    """
     if workspace not in keys.by_name:
         return True
     found = keys.find_by_digest(key_digest(bearer_token(request)))
@@ -20,7 +23,7 @@
 
 
 def unauthorized(detail: str) -> Response:
-    """Return the answer to a request whose token is missing or wrong."""
+    """Return the response to a request whose token is missing or wrong."""
     response = problem_response(401, "not run", detail)
     response.headers.append(("www-authenticate", "Bearer"))
     return response
--- a/gypsumshift/clock.py
+++ b/gypsumshift/clock.py
@@ -1,4 +1,4 @@
-"""Clocks: time as an interface, so that tests advance it by hand."""
+"""Clocks: interface to the time, which tests replace to control it."""
 
 import abc
 import asyncio
@@ -9,17 +9,17 @@
 
 
 class Clock(abc.ABC):
-    """Source of time for every decision of the system."""
+    """Source of time for all time-dependent decisions of the system."""
 
     @abc.abstractmethod
     def monotonic(self) -> float:
-        """Return seconds from an arbitrary start; never goes back."""
+        """Return the monotonic time in seconds, from an arbitrary start."""
 
     def monotonic_with_suspend(self) -> float:
-        """Return seconds from an arbitrary start, those of a suspended host included.
+        """Return the monotonic time in seconds, including time suspended.
 
-        The monotonic clock may stand still meanwhile, so what others may have done in
-        the time that passed is counted by this one.
+        The clock of `monotonic` may stand still while the host is suspended. This one
+        keeps counting, so use it for timeouts after which other hosts may have acted.
         """
         return self.monotonic()
 
@@ -29,18 +29,18 @@
 
     @abc.abstractmethod
     async def sleep(self, seconds: float) -> None:
-        """Wait for ``seconds``."""
+        """Sleep for a number of seconds."""
 
 
 class SystemClock(Clock):
     """Clock of the operating system."""
 
     def monotonic(self) -> float:
-        """Return seconds from an arbitrary start; never goes back."""
+        """Return the monotonic time in seconds, from an arbitrary start."""
         return time.monotonic()
 
     def monotonic_with_suspend(self) -> float:
-        """Return seconds, those in which the host was suspended included."""
+        """Return the time in seconds since boot, including time suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def now(self) -> datetime.datetime:
@@ -48,5 +48,5 @@
         return datetime.datetime.now(datetime.UTC)
 
     async def sleep(self, seconds: float) -> None:
-        """Wait for ``seconds``."""
+        """Sleep for a number of seconds."""
         await asyncio.sleep(seconds)
--- a/gypsumshift/gateway.py
+++ b/gypsumshift/gateway.py
@@ -1,4 +1,4 @@
-"""Gateway: the process that callers and trainers connect to."""
+"""Gateway: the process that serves callers and trainers."""
 
 import asyncio
 import contextlib
@@ -19,12 +19,14 @@
 
 __all__ = ["Gateway"]
 
-# Bytes of a request's body, until the configuration says; a batch job of 100 items
-# has some 200 kB.
+# Maximum size of a request body in bytes, unless the configuration sets another one. A
+# batch job of 100 items has about 200 kB.
 BODY_LIMIT = 64 * 1024 * 1024
-# Seconds at the very end for the last counts of usage: two answers of the store.
+# Time at the end of a drain for writing the last usage counts. The store can answer
+# twice within it.
 FINAL_FLUSH_TIMEOUT_S = 0.5
-# Seconds without the store after which callers are better served elsewhere.
+# Time without current data from the store after which the gateway is not ready, so that
+# callers are sent to another one.
 STORE_STALE_AFTER_S = 2.5
 
 
@@ -36,10 +38,10 @@
     store : RowStore
     directory : Directory
     directory_watches : list of Watch
-        Keep the directory current.
+        Keep the directory up to date.
     authorizer : Authorizer
     accounting : Accounting or None
-        None where no usage is told.
+        None if the deployment does not report usage.
     names : HeaderNames
     zone : str
     clock : Clock
@@ -91,7 +93,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether new callers should come here."""
+        """Whether the gateway accepts new callers."""
         if self.draining or not self.directory.routes.version:
             return False
         if not self.guard.loaded or not self.authorizer.ready:
@@ -100,7 +102,7 @@
         return self.clock.monotonic() - newest < STORE_STALE_AFTER_S
 
     async def sweep(self) -> None:
-        """Put the limit of the configuration in force, and forget what is gone."""
+        """Apply the configured body limit, and remove outdated data."""
         await super().sweep()
         for port in self.ports:
             port.server.max_body_bytes = self.directory.routes.body_limit or BODY_LIMIT
@@ -108,22 +110,24 @@
         await self.job_manager.remove_expired_jobs(self.chance)
 
     def background_tasks(self):
-        """Return what else the gateway does until it is cancelled."""
+        """Return the coroutines of the crash guard and of usage accounting."""
         accounting = self.accounting.background_tasks() if self.accounting else []
         return [self.guard.run(), *accounting]
 
     async def drain(self, grace: float) -> None:
-        """Send callers elsewhere, finish what runs, then close."""
+        """Report not ready, finish the requests in progress, then close the ports."""
         self.draining = True
-        # Beside the rest: the store may be slow, and callers need all of the time.
+        # Runs concurrently: the store may be slow, and the requests in progress need
+        # the whole grace period.
         accounting = asyncio.create_task(self.stop_usage_duty())
-        leaving = [port.server for port in self.ports if not port.open_while_draining]
-        for server in leaving:
+        servers = [port.server for port in self.ports if not port.open_while_draining]
+        for server in servers:
             server.draining = True
-        # Idle connections end with their next answer; two questions of the
-        # balancer, a second apart, take new ones elsewhere.
+        # Idle connections are closed after their next response. The external load
+        # balancer probes readiness every second and sends new connections elsewhere
+        # after two probes.
         await self.clock.sleep(grace / 2)
-        for server in leaving:
+        for server in servers:
             await server.stop(grace / 2)
         accounting.cancel()
         await asyncio.wait({accounting})
@@ -132,11 +136,11 @@
                 await self.flush_usage()
 
     async def stop_usage_duty(self) -> None:
-        """Have another host tell the usage; this one goes on writing its counts."""
+        """Release the duty of reporting usage; counts are still written."""
         if self.accounting:
             await self.accounting.stop_duty()
 
     async def flush_usage(self) -> None:
-        """Write the usage that was counted since the counts were written last."""
+        """Write the usage counts that have not been written yet."""
         if self.accounting:
             await self.accounting.writer.flush()
--- a/gypsumshift/lifecycle.py
+++ b/gypsumshift/lifecycle.py
@@ -1,4 +1,4 @@
-"""Lifecycle: start one process, and end it when it is told to."""
+"""Lifecycle: run a process until a signal stops it, then drain it."""
 
 import abc
 import asyncio
@@ -20,10 +20,10 @@
 
 __all__ = ["Node", "Port", "serve"]
 
-# Part of the time between the signal to stop and the end that is used: the rest is
-# left for a slow host.
+# Fraction of the grace period between the stop signal and the kill that draining may
+# use. The rest is a reserve for a slow host.
 GRACE_SHARE = 0.8
-# Seconds between two sweeps of what is remembered of backend servers.
+# Time between two removals of data about backend servers that no longer exist.
 SWEEP_PERIOD_S = 1.0
 
 log = logs.logger("process")
@@ -31,14 +31,14 @@
 
 @attrs.frozen
 class Port:
-    """An address at which a process answers.
+    """A listening address of a process and its server.
 
     Attributes
     ----------
     address : (str, int)
     server : HttpServer
-    always : bool
-        Whether it answers to the very end, also while the process leaves.
+    open_while_draining : bool
+        Whether the port stays open until the process exits, also while it drains.
     """
 
     address: tuple[str, int]
@@ -47,20 +47,22 @@
 
 
 class Node(abc.ABC):
-    """One process of the system: its ports, and what it knows of the deployment.
+    """Base class of processes: its ports and its copy of the deployment's state.
 
     Parameters
     ----------
     directory : Directory
     watches : list of Watch
-        Keep the directory and whatever else current.
+        Keep the directory and other tables up to date.
     balancer : LoadBalancer
     clock : Clock
 
     Attributes
     ----------
     body_limit : int
-        Bytes of a request's body that its ports take.
+        Maximum size of a request body at its ports, in bytes.
+    peer_tasks : list of callable
+        Return the coroutines that exchange data with other processes.
     """
 
     body_limit = MAX_BODY_BYTES
@@ -79,12 +81,10 @@
         self.ports: list[Port] = []
         self.peer_tasks: list[Callable[[], Coroutine]] = []
 
-    def join_peers(
-        self, neighbourhood: NeighbourRegistry, bootstrap: Bootstrap
-    ) -> None:
-        """Learn of the other processes and from them, and tell them of this one."""
-        self.watches.append(neighbourhood.watch)
-        self.peer_tasks += [neighbourhood.run, bootstrap.run]
+    def join_peers(self, registry: NeighbourRegistry, bootstrap: Bootstrap) -> None:
+        """Follow the list of processes, load data from them and announce this one."""
+        self.watches.append(registry.watch)
+        self.peer_tasks += [registry.run, bootstrap.run]
 
     def listen_at(
         self,
@@ -92,12 +92,12 @@
         handler: Handler,
         open_while_draining: bool = False,
     ) -> None:
-        """Have a handler answer at an address; see `Port`."""
+        """Add a port at which a handler answers requests; see `Port`."""
         server = HttpServer(handler, self.body_limit)
         self.ports.append(Port(address, server, open_while_draining))
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Open the ports and run all background tasks until cancelled."""
         for port in self.ports:
             await port.server.listen(*port.address)
         async with asyncio.TaskGroup() as group:
@@ -105,56 +105,61 @@
             group.create_task(self.run_sweep_loop())
             for task in self.peer_tasks:
                 group.create_task(task())
-            for work in self.background_tasks():
-                group.create_task(work)
+            for coroutine in self.background_tasks():
+                group.create_task(coroutine)
 
     async def run_sweep_loop(self) -> None:
-        """Forget what is gone, now and then."""
+        """Remove outdated data periodically until cancelled."""
         while True:
             await self.clock.sleep(SWEEP_PERIOD_S)
             await self.sweep()
 
     async def sweep(self) -> None:
-        """Forget the backend servers that are gone."""
+        """Remove data about backend servers that no longer exist."""
         self.directory.forget_missing_servers(self.clock.monotonic())
         self.balancer.prune(
             {server.start for server in self.directory.servers.values()}
         )
 
     def background_tasks(self) -> list[Coroutine]:
-        """Return what else this process does until it is cancelled."""
+        """Return further coroutines that this process runs until cancelled."""
         return []
 
     @abc.abstractmethod
     async def drain(self, grace: float) -> None:
-        """Take no new work, and end or hand over what runs, in ``grace`` seconds."""
+        """Accept no new work; finish or hand over the rest in ``grace`` seconds."""
 
     def reload(self) -> None:
-        """Take note that the settings file may have changed."""
-        logs.event(log, "Told to reload; the settings hold until the next start.")
+        """Handle SIGHUP, by which an operator asks to reload the settings file."""
+        logs.event(
+            log, "Received SIGHUP; changed settings take effect at the next start."
+        )
 
 
 async def serve(node: Node, grace: float) -> int:
-    """Run a node until a signal ends it; return the exit status."""
+    """Run a node until a signal stops it; return the exit status."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, node.reload)
-    working = asyncio.create_task(node.run())
+    running = asyncio.create_task(node.run())
     logs.event(log, "Started.", kind=type(node).__name__)
-    # What the start left behind stays for good: spare the collector from it.
+    # Objects created during start-up live as long as the process. Freezing them keeps
+    # the garbage collector from traversing them.
     gc.collect()
     gc.freeze()
-    stopping = asyncio.create_task(stop.wait())
-    await asyncio.wait({working, stopping}, return_when=asyncio.FIRST_COMPLETED)
-    if working.done():
-        # Only a broken invariant ends the work by itself.
-        log.error("The work ended: {!r}", working.exception())
+    stopped = asyncio.create_task(stop.wait())
+    await asyncio.wait({running, stopped}, return_when=asyncio.FIRST_COMPLETED)
+    if running.done():
+        # The node's tasks end without being cancelled only after a violated invariant.
+        log.error(
+            "The tasks of the process failed: {!r}; exiting.", running.exception()
+        )
         return os.EX_SOFTWARE
-    logs.event(log, "Told to stop.", grace_s=grace)
+    logs.event(log, "Received a stop signal; draining.", grace_s=grace)
     await node.drain(grace * GRACE_SHARE)
-    working.cancel()
-    await asyncio.wait({working})
+    running.cancel()
+    await asyncio.wait({running})
     logs.event(log, "Stopped.")
     return 0
--- a/gypsumshift/logs.py
+++ b/gypsumshift/logs.py
@@ -1,4 +1,4 @@
-"""Logs: short sentences on standard output, with a fixed prefix per part."""
+"""Logs: log lines on standard output, labelled with a component and a process."""
 
 import json
 import os
@@ -10,9 +10,10 @@
 
 __all__ = ["RateLimitedStream", "configure", "event", "logger"]
 
-# Lines a second that one process writes at the most, and after a quiet time at
-# once. At 300 bytes a line that is 60 kB/s, which a 30 Mbit/s host can spare.
+# Maximum rate of log lines of one process. At 300 bytes a line this is 60 kB/s, which a
+# host with 30 Mbit/s can spare.
 LINES_PER_SECOND = 200.0
+# Maximum number of lines in a burst after a quiet period.
 BURST_LINES = 600.0
 
 TEXT_FORMAT = (
@@ -22,24 +23,33 @@
 
 
 def logger(part: str) -> logbook.Logger:
-    """Return the logger whose lines begin with the prefix ``part``."""
+    """Return the logger of a component, whose name ``part`` labels its lines."""
     return logbook.Logger(part)
 
 
 def event(log: logbook.Logger, message: str, **fields) -> None:
-    """Log one decision: a short sentence, and the inputs that decided it."""
+    """Log an event at level info, with the values that explain it as fields."""
     log.info("{}", message, extra=fields)
 
 
 class RateLimitedStream:
-    """Stream that drops lines rather than block or flood its reader.
+    """Stream that drops lines instead of blocking or exceeding a rate limit.
 
     Parameters
     ----------
     descriptor : int
-        File descriptor to write to; it is made non-blocking.
+        File descriptor to write to; it is set to non-blocking mode.
     monotonic : callable
-        Returns seconds.
+        Returns the monotonic time in seconds.
+
+    Attributes
+    ----------
+    tokens : float
+        Number of lines that may be written now (token bucket).
+    dropped : int
+        Number of lines dropped since the last one that was written.
+    unwritten : bytes
+        Rest of a line of which the descriptor accepted only a part.
     """
 
     def __init__(self, descriptor: int, monotonic: Callable[[], float]):
@@ -52,7 +62,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
-        """Write a line, or count it as dropped."""
+        """Write a line, or drop and count it if the rate limit is exceeded."""
         now = self.monotonic()
         earned = (now - self.filled_at) * LINES_PER_SECOND
         self.tokens = min(BURST_LINES, self.tokens + earned)
@@ -66,7 +76,7 @@
         self.write_bytes(text.encode())
 
     def write_bytes(self, data: bytes) -> None:
-        """Write what fits; a line begun is finished before the next."""
+        """Write as much as the descriptor accepts, the rest of the last line first."""
         try:
             if self.unwritten:
                 written = os.write(self.descriptor, self.unwritten)
@@ -78,15 +88,15 @@
             self.unwritten = data[written:]
             self.dropped = 0
         except OSError:
-            # Nobody reads: nothing can be told, so the line is counted instead.
+            # The reader is gone or too slow. The line is dropped and counted.
             self.dropped += 1
 
     def flush(self) -> None:
-        """Nothing is held back but the rest of one line."""
+        """Do nothing: only the rest of one line is ever buffered."""
 
 
 def json_line(record, handler) -> str:
-    """Format one record as a line of JSON."""
+    """Format a log record as one line of JSON."""
     fields = {
         "time": record.time.isoformat() + "Z",
         "level": record.level_name.lower(),
@@ -101,16 +111,15 @@
 
 
 def configure(process: str, log_format: str = "text", level: str = "info") -> None:
-    """Send the log lines of this process to standard output.
+    """Direct the log lines of this process to standard output.
 
     Parameters
     ----------
     process : str
-        Name of the process, written on every line.
+        Name of the process, which every line contains.
     log_format : {'text', 'json'}
-        Format of a line.
     level : str
-        Least severe level that is logged.
+        Lowest level that is logged.
     """
     sys.stdout.flush()
     stream = RateLimitedStream(sys.stdout.fileno(), time.monotonic)
--- a/gypsumshift/memory.py
+++ b/gypsumshift/memory.py
@@ -1,4 +1,4 @@
-"""Memory: the platform's services inside one process, for tests and trials."""
+"""Memory: in-process implementation of the platform's services, for tests."""
 
 import asyncio
 import bisect
@@ -16,16 +16,16 @@
 
 
 class MemoryTables(platforms.RowStore):
-    """Tables in a dictionary, with an ordered index of keys and a feed.
+    """Row store in a dictionary, with a sorted index of keys and a change feed.
 
     Attributes
     ----------
     version : int
         Number of the last transaction.
     history : list of Row
-        What changed, oldest first.
-    forgotten : int
-        Changes up to this version are no longer in the history.
+        Changes, oldest first.
+    dropped_through : int
+        Version up to which changes were dropped from the history.
     """
 
     def __init__(self):
@@ -41,7 +41,7 @@
         return self.rows.get((table, part, key), Missing())
 
     async def scan(self, table, prefix, part=""):
-        """Return the rows whose keys begin with ``prefix``, in the keys' order."""
+        """Return the rows of a part whose keys begin with ``prefix``, sorted by key."""
         start = bisect.bisect_left(self.index, (table, part, prefix))
         found = []
         for place in self.index[start:]:
@@ -51,7 +51,7 @@
         return found
 
     async def commit(self, writes):
-        """Apply all writes, or none where a condition does not hold."""
+        """Apply all writes, or none if a condition does not hold."""
         platforms.check_distinct(writes)
         for write in writes:
             if not self.condition_holds(write):
@@ -65,7 +65,7 @@
         return Committed(self.version)
 
     def condition_holds(self, write: Write) -> bool:
-        """Tell whether the condition of a write holds."""
+        """Return whether the condition of a write holds."""
         if write.expected is None:
             return True
         row = self.rows.get((write.table, write.part, write.key))
@@ -87,12 +87,12 @@
         self.rows[place] = row
 
     def drop_history(self) -> None:
-        """Drop the history, as a store does that keeps it for a while only."""
+        """Drop the history, as a store does that keeps changes for a limited time."""
         self.dropped_through = self.version
         self.history.clear()
 
     async def changes(self, table, after, wait):
-        """Return what changed after a version; waits for the first change."""
+        """Return the changes after a version, waiting up to ``wait`` for the first."""
         rows = self.changed_rows(table, after)
         if not rows and after >= self.dropped_through:
             with contextlib.suppress(TimeoutError):
@@ -108,46 +108,46 @@
         return [r for r in self.history if r.table == table and r.version > after]
 
     async def snapshot(self, table, after=0):
-        """Return the rows of all parts, with the version to watch from."""
+        """Return the rows of all parts and the version at which changes continue."""
         rows = [row for place, row in self.rows.items() if place[0] == table]
         return Changes(sorted(rows, key=lambda row: row.version), self.version)
 
     def now(self):
-        """Return the time of this process."""
+        """Return the monotonic time of this process."""
         return datetime.timedelta(seconds=time.monotonic())
 
 
 class MemoryObjects(platforms.Objects):
-    """Objects in a dictionary."""
+    """Object store in a dictionary."""
 
     def __init__(self):
         self.data: dict[str, bytes] = {}
 
     async def put(self, name, data):
-        """Store an object once; a conflict says that the name is taken."""
+        """Store an object; return `Conflict` if the name exists already."""
         if name in self.data:
             return Conflict(name)
         self.data[name] = data
         return Committed()
 
     async def get(self, name):
-        """Return an object's bytes."""
+        """Return the contents of an object."""
         return self.data.get(name, Missing())
 
     async def delete(self, name):
-        """Remove an object; removing what is not there succeeds."""
+        """Remove an object; removing a missing object succeeds."""
         self.data.pop(name, None)
         return Committed()
 
 
 class MemoryWeights(platforms.Weights):
-    """Weights in a dictionary, without a rate limit."""
+    """Weight store in a dictionary, without a rate limit."""
 
     def __init__(self):
         self.data: dict[tuple[str, int], bytes] = {}
 
     async def publish(self, pool, version, data):
-        """Store the weights of one version once."""
+        """Store the weights of a version; return `Conflict` if it exists already."""
         if (pool, version) in self.data:
             return Conflict(f"{pool}/{version}")
         self.data[pool, version] = data
@@ -155,13 +155,13 @@
 
 
 class MemoryHosts(platforms.Hosts):
-    """Host list in a dictionary, without a lag."""
+    """Host list in a dictionary, which is always up to date."""
 
     def __init__(self):
         self.hosts: dict[str, Host] = {}
 
     async def announce(self, host):
-        """Put this process on the list."""
+        """Add this process to the list."""
         self.hosts[host.name] = host
         return Committed()
 
@@ -171,7 +171,7 @@
 
 
 def connect(url: str) -> platforms.Platform:
-    """Return the platform of that ``memory:`` URL, one per URL and process."""
+    """Return the platform of a ``memory:`` URL, one instance per URL and process."""
     if url not in PLATFORMS_BY_URL:
         PLATFORMS_BY_URL[url] = platforms.Platform(
             MemoryTables(), MemoryObjects(), MemoryWeights(), MemoryHosts()
--- a/gypsumshift/metrics.py
+++ b/gypsumshift/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: counters, durations and figures, by OpenTelemetry."""
+"""Metrics: counters, histograms and gauges, exported with OpenTelemetry."""
 
 import functools
 from collections.abc import Callable
@@ -15,14 +15,14 @@
 
 
 class Metrics:
-    """Instruments of one process.
+    """Metrics of one process.
 
     Parameters
     ----------
     process : str
         Name of the process.
-    figures : callable
-        Returns the process's current figures by name.
+    read_gauges : callable
+        Returns the current values of the process's gauges by name.
     """
 
     def __init__(self, process: str, read_gauges: Callable[[], dict[str, float]]):
@@ -36,12 +36,12 @@
         self.meter.create_observable_gauge(f"{PREFIX}.figure", [self.observe_gauges])
 
     def observe_gauges(self, options: CallbackOptions):
-        """Yield the figures for the scrape page."""
+        """Yield the gauges for the scrape page."""
         for name, value in self.read_gauges().items():
             yield Observation(value, {"figure": name})
 
     def count(self, name: str, amount: float = 1, **labels: str) -> None:
-        """Add to a counter, which is read when somebody asks for the page."""
+        """Add to a counter, which is exported when the scrape page is requested."""
         if name not in self.counters:
             self.counters[name] = {}
             observe = functools.partial(self.observe_counter, name)
@@ -51,13 +51,13 @@
         counts[key] = counts.get(key, 0) + amount
 
     def observe_counter(self, name: str, options: CallbackOptions):
-        """Yield a counter's values for the scrape page."""
+        """Yield the values of a counter for the scrape page."""
         for labels, value in self.counters[name].items():
             yield Observation(value, dict(labels))
 
     @property
     def totals(self) -> dict[str, float]:
-        """All counters by name and labels' values, joined by dots."""
+        """Values of all counters, by name and label values joined with dots."""
         return {
             ".".join([name, *(text for _, text in labels)]): value
             for name, counts in self.counters.items()
@@ -65,17 +65,17 @@
         }
 
     def record_duration(self, name: str, seconds: float, **labels: str) -> None:
-        """Record a duration."""
+        """Record a duration in a histogram."""
         if name not in self.histograms:
             instrument = self.meter.create_histogram(f"{PREFIX}.{name}", unit="s")
             self.histograms[name] = instrument
         self.histograms[name].record(seconds, labels)
 
     def close(self) -> None:
-        """Stop; the reader leaves the scrape page."""
+        """Shut down, which removes this process's metrics from the scrape page."""
         self.provider.shutdown()
 
 
 def scrape() -> bytes:
-    """Return the scrape page of this process."""
+    """Return the scrape page of this process in the Prometheus text format."""
     return generate_latest(REGISTRY)
--- a/gypsumshift/outcomes.py
+++ b/gypsumshift/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes: every way in which an operation of the system can end, as values."""
+"""Outcomes: result types for the ways in which an operation can end."""
 
 import dataclasses
 import datetime
@@ -27,7 +27,7 @@
     Attributes
     ----------
     version : int
-        Number of the transaction, where the store counts them; else 0.
+        Number of the transaction if the store numbers them, else 0.
     """
 
     version: int = 0
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conflict:
-    """The write did not take effect: a condition did not hold.
+    """The write did not take effect because a condition did not hold.
 
     Attributes
     ----------
@@ -48,12 +48,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The operation did not take effect: nobody could be asked.
+    """The operation did not take effect because the service was not available.
 
     Attributes
     ----------
     reason : str
-        What stood in the way.
+        Why the service was not available.
     """
 
     reason: str = ""
@@ -61,12 +61,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unknown:
-    """The operation may have taken effect, or run, or not.
+    """It is unknown whether the operation took effect, or the request ran.
 
     Attributes
     ----------
     reason : str
-        Why it cannot be told.
+        Why the result is unknown.
     """
 
     reason: str = ""
@@ -74,21 +74,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Missing:
-    """There is no such thing."""
+    """The requested row, object or resource does not exist."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """A whole answer to a request.
+    """The complete response to a request.
 
     Attributes
     ----------
     status : int
         HTTP status code.
     headers : tuple of (str, str)
-        Header fields, names in lower case.
+        Header fields, with names in lower case.
     body : bytes
-        The whole body.
     """
 
     status: int
@@ -96,20 +95,20 @@
     body: bytes = b""
 
     def header(self, name: str, default: str = "") -> str:
-        """Return the first header field of that lower-case name."""
+        """Return the first header field with a name, which is given in lower case."""
         return next((value for key, value in self.headers if key == name), default)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """The request has not run and never will.
+    """The request has not run and will not run.
 
     Attributes
     ----------
     reason : str
         Why it was refused.
     retry_after : datetime.timedelta
-        When another try makes sense.
+        Time after which a retry is useful.
     """
 
     reason: str
@@ -118,26 +117,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeldBack(NotRun):
-    """The request has not run, since backend servers ended under it before."""
+    """The request has not run because it crashed backend servers before."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CannotTell(NotRun):
-    """The request has not run, since this host may not know whether its key is good."""
+    """The request has not run because its key could not be checked.
+
+    The configuration on this host may be too old to decide whether the key is valid.
+    """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong with an input.
+    """An error in an input.
 
     Attributes
     ----------
     where : str
-        File with line, or file with path, or request field.
+        File and line, file and path within it, or field of the request.
     what : str
-        What is wrong there, with the offending value.
-    mend : str
-        How to mend it.
+        Description of the error, with the offending value.
+    fix : str
+        How to correct the input.
     """
 
     where: str
@@ -150,12 +152,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Invalid:
-    """The input was rejected; nothing of it took effect.
+    """The input was rejected and no part of it took effect.
 
     Attributes
     ----------
     problems : tuple of Problem
-        Everything that was found wrong.
+        All errors that were found.
     """
 
     problems: tuple[Problem, ...]
--- a/gypsumshift/platforms.py
+++ b/gypsumshift/platforms.py
@@ -1,8 +1,9 @@
-"""Platforms: the table service, object store, weight store and host list.
+"""Platforms: interfaces of the services that a deployment's platform provides.
 
-One abstract base class per service. An adapter is chosen by the scheme of the
-URL in the settings; to join another platform, write one module with the four
-classes and a function registered with `register`.
+These are the table service, the object store, the weight store and the host list, each
+with an abstract base class. The scheme of the URL in the settings selects the adapter.
+To support another platform, write a module with the four classes and a function that
+connects to it, and register the function with `register`.
 """
 
 import abc
@@ -32,6 +33,7 @@
     "register",
 ]
 
+# Version of a row that does not exist.
 ABSENT = 0
 
 
@@ -42,16 +44,16 @@
     Attributes
     ----------
     table, key : str
-        Where it stands.
+        Table and key of the row.
     version : int
-        Grows with each write of it; in a `RowStore`, the number of the
-        transaction that wrote it, so that rows are ordered by their writing.
+        Grows with each write of the row. In a `RowStore`, it is the number of the
+        transaction that wrote the row, so rows are ordered by the time of writing.
     value : dict or None
-        JSON object; None in a change that removed the row, and where it is unreadable.
+        JSON object; None in a change that removed the row, and if it is unreadable.
     part : str
-        Rows of one part can be written in one transaction.
+        Part of the store that holds the row. A transaction writes rows of one part.
     readable : bool
-        False where the row holds anything else than a JSON object.
+        False if the row holds anything else than a JSON object.
     """
 
     table: str
@@ -64,20 +66,20 @@
 
 @attrs.frozen
 class Write:
-    """One part of a transaction.
+    """Write or check of one row within a transaction.
 
     Attributes
     ----------
     table, key : str
-        The row.
+        Table and key of the row.
     value : dict or None
-        New value; None deletes the row, or only checks it where ``check`` is set.
+        New value; None deletes the row, unless ``check`` is set.
     expected : int or None
-        Version that the row must have (0: absent); None sets no condition.
+        Version that the row must have (`ABSENT` if none); None sets no condition.
     check : bool
-        Whether the row is only checked and left as it is.
+        Whether to check only the condition and leave the row unchanged.
     part : str
-        All writes of a transaction share it.
+        Part of the store that holds the row; the same in all writes of a transaction.
     """
 
     table: str
@@ -89,10 +91,11 @@
 
 
 def check_distinct(writes: list[Write]) -> None:
-    """Raise ValueError where a transaction names a row twice.
+    """Raise ValueError if a transaction names a row twice.
 
-    Its conditions are looked at once, so of two writes to an absent row both are
-    carried out, and a feed tells the row twice: that is an error of the caller.
+    This is an error of the caller. The store checks all conditions before it applies
+    any write, so two conditional writes to an absent row would both be applied, and
+    the change feed would report the row twice.
     """
     places = [(write.table, write.part, write.key) for write in writes]
     if len(set(places)) < len(places):
@@ -102,16 +105,16 @@
 
 @attrs.frozen
 class Changes:
-    """What changed in a table, in the order of writing.
+    """Changes of a table, in the order of writing.
 
     Attributes
     ----------
     rows : list of Row
-        Each row as it was written last; without a value where it was removed.
+        Latest state of each changed row; without a value if the row was removed.
     version : int
-        Ask for what changed after this one next.
+        Version after which the next request for changes continues.
     age : float
-        Seconds since the store was asked, where another process handed them on.
+        Seconds since the request to the store, if another process relayed the changes.
     """
 
     rows: list[Row]
@@ -121,23 +124,23 @@
 
 @attrs.frozen
 class HistoryLost:
-    """The changes asked for are no longer kept: read the table anew."""
+    """The requested changes are no longer kept; the table must be read again."""
 
 
 @attrs.frozen
 class Host:
-    """One entry of the platform's list of hosts.
+    """An entry of the platform's list of hosts.
 
     Attributes
     ----------
     name : str
-        Name of the process on it.
+        Name of the process on the host.
     address : str
-        IP number and peer port.
+        IP address and peer port.
     zone : str
         Availability zone.
     leaving : bool
-        Whether the platform is about to take it away.
+        Whether the platform is about to remove the host.
     """
 
     name: str
@@ -155,21 +158,21 @@
 
     @abc.abstractmethod
     async def scan(self, table: str, prefix: str) -> list[Row] | Unavailable:
-        """Return the rows whose keys begin with ``prefix``, in the keys' order."""
+        """Return the rows whose keys begin with ``prefix``, sorted by key."""
 
     @abc.abstractmethod
     async def commit(self, writes: list[Write]) -> Written:
-        """Apply all writes, or none where a condition does not hold.
+        """Apply all writes, or none if a condition does not hold.
 
-        Each row stands once among them; see `check_distinct`.
+        No row may occur twice among the writes; see `check_distinct`.
         """
 
 
 class RowStore(Tables):
-    """Tables whose rows lie in parts, with a feed of the changes.
+    """Table service that divides tables into parts and has a change feed.
 
-    Reads are linearizable. A part takes a bounded number of transactions a
-    second, so what is written often is spread over parts.
+    Reads are linearizable. A part accepts a limited number of transactions a second,
+    so rows that are written often are spread over several parts.
     """
 
     @abc.abstractmethod
@@ -178,36 +181,36 @@
 
     @abc.abstractmethod
     async def scan(self, table: str, prefix: str, part: str = ""):
-        """Return the rows of a part whose keys begin with ``prefix``, in order.
+        """Return the rows of a part whose keys begin with ``prefix``, sorted by key.
 
-        Rows written while a long part is read are left out, so that the result
-        holds every row up to some moment and none behind it.
+        Rows written while a large part is being read are left out, so that the result
+        is consistent: all rows as of one moment and no later ones.
         """
 
     @abc.abstractmethod
     async def changes(
         self, table: str, after: int, wait: datetime.timedelta
     ) -> Changes | HistoryLost | Unavailable:
-        """Return what changed after a version; waits for the first change."""
+        """Return the changes after a version, waiting up to ``wait`` for the first."""
 
     @abc.abstractmethod
     async def snapshot(self, table: str, after: int = 0) -> Changes | Unavailable:
-        """Return the rows of all parts, with the version to watch from.
+        """Return the rows of all parts and the version at which changes continue.
 
         Parameters
         ----------
         table : str
         after : int
-            The rows are at least as new as this version.
+            Minimum version of the table that the rows reflect.
         """
 
     @abc.abstractmethod
     def now(self) -> datetime.timedelta:
-        """Return the store's steady time, as estimated from its last answer."""
+        """Return the store's monotonic time, estimated from its last answer."""
 
 
 class WrappedStore(RowStore):
-    """Store that passes every call on; what differs is for its subclasses to say.
+    """Store that passes every call on to another one; base class for wrappers.
 
     Parameters
     ----------
@@ -222,40 +225,40 @@
         return await self.inner.read(table, key, part)
 
     async def scan(self, table, prefix, part=""):
-        """Return the rows of a part whose keys begin with ``prefix``, in order."""
+        """Return the rows of a part whose keys begin with ``prefix``, sorted by key."""
         return await self.inner.scan(table, prefix, part)
 
     async def commit(self, writes):
-        """Apply all writes, or none where a condition does not hold."""
+        """Apply all writes, or none if a condition does not hold."""
         return await self.inner.commit(writes)
 
     async def changes(self, table, after, wait):
-        """Return what changed after a version; waits for the first change."""
+        """Return the changes after a version, waiting up to ``wait`` for the first."""
         return await self.inner.changes(table, after, wait)
 
     async def snapshot(self, table, after=0):
-        """Return the rows of all parts, with the version to watch from."""
+        """Return the rows of all parts and the version at which changes continue."""
         return await self.inner.snapshot(table, after)
 
     def now(self):
-        """Return the store's steady time, as estimated from its last answer."""
+        """Return the store's monotonic time, estimated from its last answer."""
         return self.inner.now()
 
 
 class Objects(abc.ABC):
-    """Object store."""
+    """Object store, in which an object is written once and never changed."""
 
     @abc.abstractmethod
     async def put(self, name: str, data: bytes) -> Written:
-        """Store an object once; a conflict says that the name is taken."""
+        """Store an object; return `Conflict` if the name exists already."""
 
     @abc.abstractmethod
     async def get(self, name: str) -> bytes | Missing | Unavailable:
-        """Return an object's bytes."""
+        """Return the contents of an object."""
 
     @abc.abstractmethod
     async def delete(self, name: str) -> Written:
-        """Remove an object; removing what is not there succeeds."""
+        """Remove an object; removing a missing object succeeds."""
 
 
 class Weights(abc.ABC):
@@ -263,19 +266,19 @@
 
     @abc.abstractmethod
     async def publish(self, pool: str, version: int, data: bytes) -> Written:
-        """Store the weights of one version once."""
+        """Store the weights of a version; return `Conflict` if it exists already."""
 
 
 class Hosts(abc.ABC):
-    """Lagging list of live and leaving hosts."""
+    """List of hosts that run or are about to be removed; it may be out of date."""
 
     @abc.abstractmethod
     async def announce(self, host: Host) -> Written:
-        """Put this process on the list."""
+        """Add this process to the list."""
 
     @abc.abstractmethod
     async def list(self) -> list[Host] | Unavailable:
-        """Return the list, which may be old."""
+        """Return the list, which may be out of date."""
 
 
 @attrs.frozen
@@ -301,12 +304,18 @@
 
 
 def register(scheme: str, connector: Callable[[str], Platform]) -> None:
-    """Make URLs of ``scheme`` connect by ``connector``."""
+    """Register the function that connects to platforms with a URL scheme."""
     ADAPTERS[scheme] = connector
 
 
 def connect(url: str) -> Platform:
-    """Return the platform behind a URL; a scheme nobody registered is a KeyError."""
+    """Connect to the platform of a URL.
+
+    Raises
+    ------
+    KeyError
+        If no adapter is registered for the scheme of the URL.
+    """
     scheme = url.partition(":")[0]
     if scheme not in ADAPTERS and scheme in BUILT_IN_ADAPTERS:
         importlib.import_module(BUILT_IN_ADAPTERS[scheme])
--- a/gypsumshift/policy.py
+++ b/gypsumshift/policy.py
@@ -1,7 +1,8 @@
-"""Policy: which of the system's mechanisms are at work.
+"""Policy: switches for the optional mechanisms of the system.
 
-All are, unless an operator switches some off to see what each is worth to a
-deployment. None of them guards a promise: without any, answers come later, not wrong.
+All are on unless an operator switches some off to measure what each of them gains in a
+deployment. No guarantee depends on them: without them answers come later, but stay
+correct.
 """
 
 import attrs
@@ -14,50 +15,51 @@
     "parse_disabled",
 ]
 
-# Environment variable that names the mechanisms to switch off, separated by commas.
+# Environment variable with the mechanisms to switch off, separated by commas.
 ENVIRONMENT_VARIABLE = "GYPSUMSHIFT_WITHOUT"
 
 
 class PolicyError(ValueError):
-    """A mechanism that there is not was to be switched off."""
+    """The name of a mechanism to switch off is unknown."""
 
 
 @attrs.frozen
 class Policy:
-    """Mechanisms that may be switched off one by one.
+    """Mechanisms that can be switched off one by one.
 
     Attributes
     ----------
     hedged_writes : bool
-        A write that the store does not answer is sent once more (`hedging.py`).
+        Send a write once more if the store does not answer it (`hedging.py`).
     loads_behind_steps : bool
-        Weights load when a step has begun, not when the next one needs them
+        Load weights when a training step has begun, not when the next one needs them
         (`jobs/placement.py`).
     long_items_to_faster : bool
-        Long items are left and given to the faster engines of a model
+        Leave long items to the faster engines of a model, or move them there
         (`jobs/claimtracker.py`, `jobs/agent.py`).
     slow_engines_short_items : bool
-        Engines that are built slower serve the model of the shortest items
+        Assign engines with slower hardware to the model of the shortest items
         (`jobs/placement.py`).
     settled_models : bool
-        An engine stays with its model while that costs no balance
+        Keep an engine assigned to its model as long as the load stays balanced
         (`jobs/placement.py`).
     slow_handover : bool
-        An engine that turned slow hands everything over (`jobs/pace.py`).
+        Hand over all work of an engine that has become slow (`jobs/pace.py`).
     saved_runs : bool
-        What long runs have generated is saved each second (`jobs/partials.py`).
+        Save the partial results of long runs each second (`jobs/partials.py`).
     store_through_neighbours : bool
-        Hosts that the store does not answer call it through others
+        Call the store through another host if it does not answer directly
         (`neighbours.py`).
     second_server : bool
-        A second server is asked where the first keeps silent
+        Send a request to a second server if the first does not answer
         (`serving/forwarder.py`).
     ejection : bool
-        Servers that fail are avoided for a while (`serving/pool.py`).
+        Avoid failing servers for a while (`serving/loadbalancer.py`).
     shared_sight : bool
-        Processes tell each other what they saw of servers (`gossip.py`).
+        Exchange observations of servers between processes (`gossip.py`).
     shared_rereads : bool
-        One process of a zone reads a whole table for the others (`sharedreads.py`).
+        Let one process of a zone read a whole table for the others
+        (`sharedreads.py`).
     """
 
     hedged_writes: bool = True
@@ -78,19 +80,25 @@
 
 
 def parse_disabled(text: str) -> Policy:
-    """Return the policy without the mechanisms that a text names.
+    """Return the policy with the named mechanisms switched off.
+
+    Parameters
+    ----------
+    text : str
+        Names of mechanisms, separated by commas.
 
     Raises
     ------
     PolicyError
-        Saying which name is unknown, and which there are.
+        If a name is unknown; the message lists the known names.
     """
     named = {name.strip() for name in text.split(",")} - {""}
     known = {field.name for field in attrs.fields(Policy)}
     unknown = sorted(named - known)
     if unknown:
-        there_are = ", ".join(sorted(known))
+        names = ", ".join(sorted(known))
         raise PolicyError(
-            f"{ENVIRONMENT_VARIABLE} names {unknown[0]}; there are {there_are}"
+            f"{ENVIRONMENT_VARIABLE} contains the unknown mechanism {unknown[0]}; "
+            f"known mechanisms: {names}"
         )
     return Policy(**dict.fromkeys(named, False))
--- a/gypsumshift/traces.py
+++ b/gypsumshift/traces.py
@@ -1,4 +1,4 @@
-"""Traces: the log lines of all processes that speak of one id."""
+"""Traces: find the log lines of all processes that contain an id."""
 
 import json
 import pathlib
@@ -6,30 +6,31 @@
 
 __all__ = ["find_lines"]
 
-# Field that is the same in the lines of a request under all of its ids.
+# Log field that identifies a request's contents: equal for all ids under which the same
+# request was sent.
 FINGERPRINT = "fingerprint"
-# Fields of the lines that tell what servers did under a request: that one ended, that
-# it was tried again, and that one answered it.
+# Log fields of events at the servers that ran a request: a server crashed, the request
+# was tried again after crashes, or a server answered it.
 SERVER_EVENT_FIELDS = ("ended", "trial", "cleared")
 
 
 def find_lines(folder: pathlib.Path, wanted: str) -> list[dict]:
-    """Return the log lines that name an id, in order of time.
+    """Return the log lines that contain an id, sorted by time.
 
-    A request that is held back for what it did to servers under other ids has those
-    lines, too.
+    A request can be held back because it crashed servers under other ids. The lines of
+    those crashes are included.
 
     Parameters
     ----------
     folder : pathlib.Path
-        Holds files with one JSON object a line; other lines are passed over.
+        Contains files with one JSON object per line; other lines are ignored.
     wanted : str
         Id of a request, an item, a batch job or a backend server.
 
     Returns
     -------
     list of dict
-        With ``file`` added, the name of the file that a line stood in.
+        Objects of the lines, with the name of the log file added as ``file``.
     """
     found = list(matching_lines(folder, lambda line: wanted in line))
     known = {value[FINGERPRINT] for value in found if FINGERPRINT in value}
@@ -48,9 +49,9 @@
 def matching_lines(
     folder: pathlib.Path, matches: Callable[[str], bool]
 ) -> Iterator[dict]:
-    """Yield the objects in the lines that ``names`` picks, with their files.
+    """Yield the objects of the lines for which ``matches`` is true.
 
-    Few lines are picked: only these are worth parsing.
+    Lines are filtered before they are parsed, since only few of them match.
     """
     for file in sorted(path for path in folder.rglob("*") if path.is_file()):
         with file.open(errors="replace") as lines:
@@ -61,12 +62,12 @@
 
 
 def reports_server_event(value: dict) -> bool:
-    """Tell whether a line says what servers did under a request."""
+    """Return whether a log line reports what happened to a server under a request."""
     return any(value.get(name) for name in SERVER_EVENT_FIELDS)
 
 
 def parse_line(line: str) -> dict | None:
-    """Return the object in a line, which may have text before it; None for none."""
+    """Return the JSON object in a line, after any text before it; None if absent."""
     start = line.find("{")
     if start < 0:
         return None
--- a/gypsumshift/workspaces.py
+++ b/gypsumshift/workspaces.py
@@ -1,7 +1,7 @@
-"""Workspaces: whose requests these are, told by the keys that callers send.
+"""Workspaces: tenants of a deployment, identified by the keys that callers send.
 
-Keys are known by their digests only: what a process holds, logs or hands on lets
-nobody call in a workspace's name.
+Only digests of the keys are stored, logged and passed on, so nobody can use them to
+send requests in the name of a workspace.
 """
 
 import hashlib
@@ -11,25 +11,26 @@
 
 __all__ = ["NO_WORKSPACES", "Workspace", "Workspaces", "key_digest"]
 
-# Bytes of a digest: enough that nobody finds a second key with the same one.
+# Size of a digest in bytes, large enough to make a second key with the same digest
+# infeasible to find.
 DIGEST_SIZE = 16
 
 
 def key_digest(key: str) -> str:
-    """Return what a key is known by, in hexadecimal digits."""
+    """Return the digest of a key in hexadecimal digits."""
     data = key.encode("utf-8", "surrogatepass")
     return hashlib.blake2b(data, digest_size=DIGEST_SIZE).hexdigest()
 
 
 @attrs.frozen
 class Workspace:
-    """One workspace of the configuration.
+    """A workspace of the configuration.
 
     Attributes
     ----------
     name : str
     keys : frozenset of str
-        Digests of the keys that name it; see `key_digest`.
+        Digests of its keys; see `key_digest`.
     """
 
     name: str
@@ -43,7 +44,7 @@
     ----------
     workspaces : iterable of Workspace
     required : bool
-        Whether callers have to send a key where a route is not public.
+        Whether callers must send a key for routes that are not public.
     """
 
     def __init__(self, workspaces: Iterable[Workspace] = (), required: bool = False):
@@ -56,9 +57,9 @@
         }
 
     def find_by_digest(self, digest: str) -> Workspace | None:
-        """Return the workspace whose key has a digest."""
+        """Return the workspace with a key of that digest; None if there is none."""
         return self.by_digest.get(digest)
 
 
-# A deployment that does not tell callers apart.
+# Workspaces of a deployment that does not distinguish callers.
 NO_WORKSPACES = Workspaces()
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""From an id to the lines of all processes that name it."""
+"""Tests of finding log lines by id, and of the limit on the rate of log lines."""
 
 import json
 
@@ -14,7 +14,7 @@
     (folder / name).write_text(text)
 
 
-def test_lines_of_all_processes_come_in_order_of_time(tmp_path):
+def test_lines_of_all_processes_are_sorted_by_time(tmp_path):
     write(
         tmp_path,
         "b.log",
@@ -27,7 +27,7 @@
     assert [line["message"] for line in found] == ["first", "second"]
 
 
-def test_the_command_prints_them_or_says_that_there_are_none(tmp_path):
+def test_trace_command_prints_lines_and_fails_if_there_are_none(tmp_path):
     write(tmp_path, "a.log", {"time": "1", "message": "first", "request": "r1"})
     run = CliRunner().invoke(cli.app, ["trace", "r1", "--logs", str(tmp_path)])
     assert run.exit_code == 0 and "first" in run.output
@@ -37,7 +37,7 @@
     assert run.exit_code == 2
 
 
-def test_a_flood_of_lines_is_dropped_and_counted(tmp_path):
+def test_lines_beyond_the_rate_limit_are_dropped_and_counted(tmp_path):
     now = 0.0
     with (tmp_path / "log").open("w") as file:
         stream = logs.RateLimitedStream(file.fileno(), lambda: now)
@@ -50,25 +50,33 @@
     assert text[-2:] == ["50 lines dropped", "later"]
 
 
-def test_a_request_that_is_held_back_leads_to_the_ends_under_its_other_ids(tmp_path):
-    """On call, its own lines named no server: those had ended under other ids."""
-    usual = {"part": "sender", "message": "An attempt failed.", "fingerprint": "f1"}
+def test_held_back_request_leads_to_crashes_under_its_other_ids(tmp_path):
+    """Guards against a trace that does not show why a request was held back.
+
+    The lines of the request itself named no server, since the servers had crashed while
+    running it under other ids.
+    """
+    failed_attempt = {
+        "part": "sender",
+        "message": "An attempt failed.",
+        "fingerprint": "f1",
+    }
     write(
         tmp_path,
         "a.log",
-        usual | {"time": "1", "request": "r1", "server": "s1", "ended": True},
-        usual | {"time": "2", "request": "r1", "server": "s2", "ended": False},
-        usual
+        failed_attempt | {"time": "1", "request": "r1", "server": "s1", "ended": True},
+        failed_attempt | {"time": "2", "request": "r1", "server": "s2", "ended": False},
+        failed_attempt
         | {"time": "3", "request": "r2", "server": "s3", "ended": True}
         | {"fingerprint": "f2"},
     )
-    held = {"message": "A request is held back.", "fingerprint": "f1"}
+    held_back = {"message": "A request is held back.", "fingerprint": "f1"}
     write(
         tmp_path,
         "b.log",
-        held | {"time": "6", "request": "r8"},
-        held | {"time": "7", "request": "r9"},
-        held | {"time": "5", "request": "r7", "trial": 1},
+        held_back | {"time": "6", "request": "r8"},
+        held_back | {"time": "7", "request": "r9"},
+        held_back | {"time": "5", "request": "r7", "trial": 1},
     )
     found = traces.find_lines(tmp_path, "r9")
     assert [line["time"] for line in found] == ["1", "5", "7"]
