--- a/gypsumshift/accounting.py
+++ b/gypsumshift/accounting.py
@@ -72,9 +72,9 @@
     metrics : Metrics
     """
     counter = UsageCounter(clock, window_width)
-    usage_log = UsageWriter(counter, store, clock, chance)
+    usage_writer = UsageWriter(counter, store, clock, chance)
     reporter = UsageReporter(counter, store, receiver, metrics)
-    owner = f"{host}/{usage_log.session}"
+    owner = f"{host}/{usage_writer.session}"
     lease = Lease(
         store,
         USAGE_LEASE_NAME,
@@ -84,4 +84,4 @@
         host=host,
         return_pause=LEASE_DURATION_S,
     )
-    return Accounting(counter, usage_log, DutyRunner(lease, reporter, clock, chance))
+    return Accounting(counter, usage_writer, DutyRunner(lease, reporter, clock, chance))
--- a/gypsumshift/bearer.py
+++ b/gypsumshift/bearer.py
@@ -14,7 +14,7 @@
 def has_workspace_key(request: Request, workspace: str, keys: Workspaces) -> bool:
     """Return whether a request may use a workspace.
 
-    This is the case if it carries a key of the workspace, or the workspace has no keys.
+    It may if it carries a key of the workspace, or if ``keys`` lists no such workspace.
     """
     if workspace not in keys.by_name:
         return True
--- a/gypsumshift/clock.py
+++ b/gypsumshift/clock.py
@@ -1,4 +1,4 @@
-"""Clocks: interface to the time, which tests replace to control it."""
+"""Clocks: interface to the current time, so that tests can control it."""
 
 import abc
 import asyncio
--- a/gypsumshift/gateway.py
+++ b/gypsumshift/gateway.py
@@ -19,9 +19,9 @@
 
 __all__ = ["Gateway"]
 
-# Maximum size of a request body in bytes, unless the configuration sets another one. A
-# batch job of 100 items has about 200 kB.
-BODY_LIMIT = 64 * 1024 * 1024
+# Maximum size of a request body unless the configuration sets another one. A batch
+# job of 100 items has about 200 kB.
+DEFAULT_MAX_BODY_BYTES = 64 * 1024 * 1024
 # Time at the end of a drain for writing the last usage counts. The store can answer
 # twice within it.
 FINAL_FLUSH_TIMEOUT_S = 0.5
@@ -51,7 +51,7 @@
     policy : Policy
     """
 
-    body_limit = BODY_LIMIT
+    max_body_bytes = DEFAULT_MAX_BODY_BYTES
 
     def __init__(
         self,
@@ -105,7 +105,9 @@
         """Apply the configured body limit, and remove outdated data."""
         await super().sweep()
         for port in self.ports:
-            port.server.max_body_bytes = self.directory.routes.body_limit or BODY_LIMIT
+            port.server.max_body_bytes = (
+                self.directory.routes.body_limit or DEFAULT_MAX_BODY_BYTES
+            )
         self.guard.sweep()
         await self.job_manager.remove_expired_jobs(self.chance)
 
--- a/gypsumshift/leases.py
+++ b/gypsumshift/leases.py
@@ -49,10 +49,10 @@
     value = row.value
     owner, fence = value.get("owner"), value.get("fence")
     host, former = value.get("host", ""), value.get("former", [])
-    texts = isinstance(former, list | tuple) and all(
+    texts_valid = isinstance(former, list | tuple) and all(
         isinstance(text, str) for text in (owner, host, *former)
     )
-    if texts and type(fence) is int:
+    if texts_valid and type(fence) is int:
         return LeaseRecord(owner, fence, host, tuple(former))
     log.error("Row {}/{} is not a valid lease; ignoring it.", row.table, row.key)
     return None
--- a/gypsumshift/lifecycle.py
+++ b/gypsumshift/lifecycle.py
@@ -59,13 +59,13 @@
 
     Attributes
     ----------
-    body_limit : int
-        Maximum size of a request body at its ports, in bytes.
+    max_body_bytes : int
+        Maximum size of a request body at its ports.
     peer_tasks : list of callable
         Return the coroutines that exchange data with other processes.
     """
 
-    body_limit = MAX_BODY_BYTES
+    max_body_bytes = MAX_BODY_BYTES
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
         open_while_draining: bool = False,
     ) -> None:
         """Add a port at which a handler answers requests; see `Port`."""
-        server = HttpServer(handler, self.body_limit)
+        server = HttpServer(handler, self.max_body_bytes)
         self.ports.append(Port(address, server, open_while_draining))
 
     async def run(self) -> None:
--- a/gypsumshift/logs.py
+++ b/gypsumshift/logs.py
@@ -23,7 +23,7 @@
 
 
 def logger(part: str) -> logbook.Logger:
-    """Return the logger of a component, whose name ``part`` labels its lines."""
+    """Return the logger of a component, whose lines are labelled with ``part``."""
     return logbook.Logger(part)
 
 
@@ -127,6 +127,6 @@
     handler.format_string = TEXT_FORMAT
     if log_format == "json":
         handler.formatter = json_line
-    names = logbook.Processor(lambda record: record.extra.update(process=process))
-    names.push_application()
+    processor = logbook.Processor(lambda record: record.extra.update(process=process))
+    processor.push_application()
     handler.push_application()
--- a/gypsumshift/memory.py
+++ b/gypsumshift/memory.py
@@ -44,10 +44,10 @@
         """Return the rows of a part whose keys begin with ``prefix``, sorted by key."""
         start = bisect.bisect_left(self.index, (table, part, prefix))
         found = []
-        for place in self.index[start:]:
-            if place[:2] != (table, part) or not place[2].startswith(prefix):
+        for location in self.index[start:]:
+            if location[:2] != (table, part) or not location[2].startswith(prefix):
                 break
-            found.append(self.rows[place])
+            found.append(self.rows[location])
         return found
 
     async def commit(self, writes):
@@ -73,18 +73,18 @@
 
     def apply_write(self, write: Write) -> None:
         """Apply one write."""
-        place = (write.table, write.part, write.key)
+        location = (write.table, write.part, write.key)
         row = Row(write.table, write.key, self.version, write.value, write.part)
-        old = self.rows.pop(place, None)
+        old = self.rows.pop(location, None)
         if old is None and write.value is None:
             return
         self.history.append(row)
         if write.value is None:
-            self.index.pop(bisect.bisect_left(self.index, place))
+            self.index.pop(bisect.bisect_left(self.index, location))
             return
         if old is None:
-            bisect.insort(self.index, place)
-        self.rows[place] = row
+            bisect.insort(self.index, location)
+        self.rows[location] = row
 
     def drop_history(self) -> None:
         """Drop the history, as a store does that keeps changes for a limited time."""
@@ -109,7 +109,7 @@
 
     async def snapshot(self, table, after=0):
         """Return the rows of all parts and the version at which changes continue."""
-        rows = [row for place, row in self.rows.items() if place[0] == table]
+        rows = [row for location, row in self.rows.items() if location[0] == table]
         return Changes(sorted(rows, key=lambda row: row.version), self.version)
 
     def now(self):
--- a/gypsumshift/platforms.py
+++ b/gypsumshift/platforms.py
@@ -97,9 +97,9 @@
     any write, so two conditional writes to an absent row would both be applied, and
     the change feed would report the row twice.
     """
-    places = [(write.table, write.part, write.key) for write in writes]
-    if len(set(places)) < len(places):
-        twice = next(place for place in places if places.count(place) > 1)
+    locations = [(write.table, write.part, write.key) for write in writes]
+    if len(set(locations)) < len(locations):
+        twice = next(place for place in locations if locations.count(place) > 1)
         raise ValueError(f"a transaction names a row twice: {'/'.join(twice)}")
 
 
@@ -246,7 +246,7 @@
 
 
 class Objects(abc.ABC):
-    """Object store, in which an object is written once and never changed."""
+    """Object store in which existing objects cannot be overwritten."""
 
     @abc.abstractmethod
     async def put(self, name: str, data: bytes) -> Written:
