--- a/gypsumshift/admission.py
+++ b/gypsumshift/admission.py
@@ -16,18 +16,18 @@
 import attrs
 
 from gypsumshift.clock import Clock
+from gypsumshift.concurrencylimit import ConcurrencyLimit
 from gypsumshift.generated.messages import RequestClass
-from gypsumshift.limits import Limit
 
 __all__ = ["Admission", "FairAdmission", "FifoAdmission", "Ticket"]
 
 CLASSES = (RequestClass.CLIENT, RequestClass.INTERNAL, RequestClass.SAMPLE)
-RESERVE = 0.25
-CLIENTS_RECENT = 10.0
-CLIENTS_WEIGHT = 0.05
-DURATION_WEIGHT = 0.1
-LEAST_RETRY = 0.05
-MOST_RETRY = 30.0
+CLIENT_RESERVE_SHARE = 0.25
+CLIENT_ACTIVITY_WINDOW_S = 10.0
+CLIENT_AVERAGE_WEIGHT = 0.05
+DURATION_AVERAGE_WEIGHT = 0.1
+MIN_RETRY_AFTER_S = 0.05
+MAX_RETRY_AFTER_S = 30.0
 
 
 @attrs.define(eq=False)
@@ -53,9 +53,9 @@
     deadline: float
     share: int = 10
     urgency: int = 3
-    decide: Callable[[bool], None] = lambda admitted: None
-    offered: float = 0.0
-    admitted: float = 0.0
+    on_decision: Callable[[bool], None] = lambda admitted: None
+    offered_at: float = 0.0
+    admitted_at: float = 0.0
     waiting: bool = False
 
 
@@ -71,16 +71,16 @@
     clock : Clock
     """
 
-    def __init__(self, limit: Limit, queue: int, clock: Clock):
+    def __init__(self, limit: ConcurrencyLimit, queue: int, clock: Clock):
         self.limit = limit
-        self.queue = queue
+        self.max_waiting = queue
         self.clock = clock
         self.running = 0
         self.waiting = 0
-        self.running_of = collections.Counter()
-        self.waiting_of = collections.Counter()
-        self.duration = 0.0
-        self.refused = 0
+        self.running_by_class = collections.Counter()
+        self.waiting_by_class = collections.Counter()
+        self.average_duration = 0.0
+        self.refused_count = 0
 
     @abc.abstractmethod
     def push(self, ticket: Ticket) -> None:
@@ -95,61 +95,61 @@
         """Take a waiting ticket that must yield to ``ticket`` in a full queue."""
 
     @abc.abstractmethod
-    def ahead_of(self, ticket: Ticket) -> int:
+    def count_ahead_of(self, ticket: Ticket) -> int:
         """Return how many waiting tickets would run before this one."""
 
-    def has_place(self, request_class: int) -> bool:
+    def has_free_slot(self, request_class: int) -> bool:
         """Tell whether a request of a class would run at once."""
         return self.running < self.limit.value and not self.waiting
 
     def offer(self, ticket: Ticket) -> float:
         """Take a request; return 0, or seconds to come back after where refused."""
         now = self.clock.monotonic()
-        ticket.offered = now
-        wait = self.estimate(ticket)
+        ticket.offered_at = now
+        wait = self.estimate_wait(ticket)
         if now + wait > ticket.deadline:
-            return self.refuse(wait)
-        if self.waiting >= self.queue and self.running >= self.limit.value:
+            return self.count_refusal(wait)
+        if self.waiting >= self.max_waiting and self.running >= self.limit.value:
             victim = self.evict_for(ticket)
             if victim is None:
-                return self.refuse(wait)
+                return self.count_refusal(wait)
             self.waiting -= 1
             victim.waiting = False
-            self.refused += 1
-            victim.decide(False)
+            self.refused_count += 1
+            victim.on_decision(False)
         ticket.waiting = True
         self.waiting += 1
         self.push(ticket)
-        self.admit()
+        self.admit_waiting()
         return 0.0
 
-    def refuse(self, wait: float) -> float:
+    def count_refusal(self, wait: float) -> float:
         """Count a refusal; return when to come back."""
-        self.refused += 1
-        return min(max(wait, LEAST_RETRY), MOST_RETRY)
+        self.refused_count += 1
+        return min(max(wait, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
 
-    def estimate(self, ticket: Ticket) -> float:
+    def estimate_wait(self, ticket: Ticket) -> float:
         """Return the seconds that a ticket would wait, from recent durations."""
         free = self.limit.value - self.running
-        ahead = self.ahead_of(ticket)
+        ahead = self.count_ahead_of(ticket)
         if free > ahead:
             return 0.0
-        return self.duration * (ahead + 1 - max(free, 0)) / self.limit.value
+        return self.average_duration * (ahead + 1 - max(free, 0)) / self.limit.value
 
-    def admit(self) -> None:
+    def admit_waiting(self) -> None:
         """Let run what may run now."""
         now = self.clock.monotonic()
         while self.running < self.limit.value and (ticket := self.pop()):
             self.waiting -= 1
             ticket.waiting = False
             if ticket.deadline <= now:
-                self.refused += 1
-                ticket.decide(False)
+                self.refused_count += 1
+                ticket.on_decision(False)
                 continue
             self.running += 1
-            self.running_of[ticket.request_class] += 1
-            ticket.admitted = now
-            ticket.decide(True)
+            self.running_by_class[ticket.request_class] += 1
+            ticket.admitted_at = now
+            ticket.on_decision(True)
 
     def withdraw(self, ticket: Ticket) -> None:
         """Drop a waiting ticket whose caller gave up."""
@@ -159,75 +159,83 @@
 
     def release(self, ticket: Ticket, ok: bool) -> None:
         """Take back the place of a ticket that has run."""
-        took = self.clock.monotonic() - ticket.admitted
+        took = self.clock.monotonic() - ticket.admitted_at
         self.running -= 1
-        self.running_of[ticket.request_class] -= 1
+        self.running_by_class[ticket.request_class] -= 1
         if ok:
-            step = DURATION_WEIGHT if self.duration else 1.0
-            self.duration += step * (took - self.duration)
-        self.limit.learn(took, self.running + 1, ok)
-        self.admit()
+            step = DURATION_AVERAGE_WEIGHT if self.average_duration else 1.0
+            self.average_duration += step * (took - self.average_duration)
+        self.limit.record_request(took, self.running + 1, ok)
+        self.admit_waiting()
 
 
 class FairAdmission(Admission):
     """Classes in strict order, workspaces by weight, urgency within."""
 
-    def __init__(self, limit: Limit, queue: int, clock: Clock):
+    def __init__(self, limit: ConcurrencyLimit, queue: int, clock: Clock):
         super().__init__(limit, queue, clock)
         self.queues: dict[tuple[int, str], list] = {}
-        self.progress: dict[str, float] = {}
-        self.virtual = 0.0
-        self.order = itertools.count()
-        self.client_seen = float("-inf")
-        self.clients = 0.0
+        self.finish_tags: dict[str, float] = {}
+        self.virtual_time = 0.0
+        self.sequence = itertools.count()
+        self.last_client_at = float("-inf")
+        self.average_clients = 0.0
 
     def push(self, ticket):
         """Keep a waiting ticket."""
         if ticket.request_class == RequestClass.CLIENT:
-            self.client_seen = self.clock.monotonic()
-            there = self.running_of[RequestClass.CLIENT]
-            there += self.waiting_of[RequestClass.CLIENT]
-            self.clients += CLIENTS_WEIGHT * (there - self.clients)
+            self.last_client_at = self.clock.monotonic()
+            there = self.running_by_class[RequestClass.CLIENT]
+            there += self.waiting_by_class[RequestClass.CLIENT]
+            self.average_clients += CLIENT_AVERAGE_WEIGHT * (
+                there - self.average_clients
+            )
         key = (ticket.request_class, ticket.workspace)
-        entry = (ticket.urgency, next(self.order), ticket)
+        entry = (ticket.urgency, next(self.sequence), ticket)
         heapq.heappush(self.queues.setdefault(key, []), entry)
-        self.waiting_of[ticket.request_class] += 1
+        self.waiting_by_class[ticket.request_class] += 1
 
     def withdraw(self, ticket):
         """Drop a waiting ticket whose caller gave up."""
         if ticket.waiting:
-            self.waiting_of[ticket.request_class] -= 1
+            self.waiting_by_class[ticket.request_class] -= 1
         super().withdraw(ticket)
 
     def pop(self):
         """Take the next ticket that may run now; None where none may."""
         for request_class in CLASSES:
-            if not self.waiting_of[request_class] or not self.has_room(request_class):
+            if not self.waiting_by_class[request_class] or not self.class_may_run(
+                request_class
+            ):
                 continue
             ticket = self.pop_class(request_class)
             if ticket is not None:
                 return ticket
         return None
 
-    def has_place(self, request_class):
+    def has_free_slot(self, request_class):
         """Tell whether a request of a class would run at once."""
-        waiting = sum(n for kind, n in self.waiting_of.items() if kind <= request_class)
+        waiting = sum(
+            n for kind, n in self.waiting_by_class.items() if kind <= request_class
+        )
         free = self.running < self.limit.value and not waiting
-        return free and self.has_room(request_class)
+        return free and self.class_may_run(request_class)
 
-    def has_room(self, request_class: int) -> bool:
+    def class_may_run(self, request_class: int) -> bool:
         """Tell whether a class may take one more place."""
         if request_class == RequestClass.CLIENT:
             return True
-        if self.clock.monotonic() - self.client_seen > CLIENTS_RECENT:
+        if self.clock.monotonic() - self.last_client_at > CLIENT_ACTIVITY_WINDOW_S:
             return True
-        kept = math.ceil(max(RESERVE * self.limit.value, self.client_places()))
-        others = self.running - self.running_of[RequestClass.CLIENT]
+        kept = math.ceil(
+            max(CLIENT_RESERVE_SHARE * self.limit.value, self.expected_client_slots())
+        )
+        others = self.running - self.running_by_class[RequestClass.CLIENT]
         return others < max(1, self.limit.value - kept)
 
-    def client_places(self) -> float:
+    def expected_client_slots(self) -> float:
         """Return how many places clients take: the usual number and its spread."""
-        return self.clients + math.sqrt(self.clients)
+        return self.average_clients + math.sqrt(self.average_clients)
 
     def pop_class(self, request_class: int) -> Ticket | None:
         """Take the next ticket of a class, from the workspace least served."""
@@ -235,23 +243,27 @@
             names = [name for kind, name in self.queues if kind == request_class]
             if not names:
                 return None
-            name = min(names, key=lambda n: max(self.progress.get(n, 0), self.virtual))
+            name = min(
+                names, key=lambda n: max(self.finish_tags.get(n, 0), self.virtual_time)
+            )
             heap = self.queues[request_class, name]
             ticket = heapq.heappop(heap)[2]
             if not heap:
                 del self.queues[request_class, name]
             if ticket.waiting:
-                self.waiting_of[request_class] -= 1
-                self.serve(ticket)
+                self.waiting_by_class[request_class] -= 1
+                self.charge_workspace(ticket)
                 return ticket
 
-    def serve(self, ticket: Ticket) -> None:
+    def charge_workspace(self, ticket: Ticket) -> None:
         """Charge a workspace for one place."""
-        start = max(self.progress.get(ticket.workspace, 0.0), self.virtual)
-        self.virtual = start
-        self.progress[ticket.workspace] = start + 1.0 / ticket.share
-        if len(self.progress) > 4 * (len(self.queues) + 64):
-            self.progress = {n: p for n, p in self.progress.items() if p > self.virtual}
+        start = max(self.finish_tags.get(ticket.workspace, 0.0), self.virtual_time)
+        self.virtual_time = start
+        self.finish_tags[ticket.workspace] = start + 1.0 / ticket.share
+        if len(self.finish_tags) > 4 * (len(self.queues) + 64):
+            self.finish_tags = {
+                n: p for n, p in self.finish_tags.items() if p > self.virtual_time
+            }
 
     def evict_for(self, ticket):
         """Take a ticket of a lower class, or of the workspace that waits the most."""
@@ -273,13 +285,13 @@
         heapq.heapify(heap)
         if not heap:
             del self.queues[choice]
-        self.waiting_of[choice[0]] -= 1
+        self.waiting_by_class[choice[0]] -= 1
         return entry[2]
 
-    def ahead_of(self, ticket):
+    def count_ahead_of(self, ticket):
         """Return how many waiting tickets would run before this one, at the most."""
         ahead = 0
-        for request_class, count in self.waiting_of.items():
+        for request_class, count in self.waiting_by_class.items():
             if request_class <= ticket.request_class:
                 ahead += count
         return ahead
@@ -288,18 +300,18 @@
 class FifoAdmission(Admission):
     """First come, first served; the plain baseline."""
 
-    def __init__(self, limit: Limit, queue: int, clock: Clock):
+    def __init__(self, limit: ConcurrencyLimit, queue: int, clock: Clock):
         super().__init__(limit, queue, clock)
-        self.line: collections.deque[Ticket] = collections.deque()
+        self.tickets: collections.deque[Ticket] = collections.deque()
 
     def push(self, ticket):
         """Keep a waiting ticket."""
-        self.line.append(ticket)
+        self.tickets.append(ticket)
 
     def pop(self):
         """Take the next ticket."""
-        while self.line:
-            ticket = self.line.popleft()
+        while self.tickets:
+            ticket = self.tickets.popleft()
             if ticket.waiting:
                 return ticket
         return None
@@ -308,6 +320,6 @@
         """Nobody yields to a later one."""
         return None
 
-    def ahead_of(self, ticket):
+    def count_ahead_of(self, ticket):
         """Return how many tickets wait."""
         return self.waiting
--- a/gypsumshift/answers.py
+++ b/gypsumshift/attemptresults.py
@@ -6,19 +6,19 @@
 
 from gypsumshift.clock import Clock
 from gypsumshift.generated.messages import Body, Cancel, End, Head, Load, Span
-from gypsumshift.links import Exchanges, Link, LinkError
-from gypsumshift.members import Known
+from gypsumshift.membership import Peer
 from gypsumshift.outcomes import Unknown
+from gypsumshift.peerconnection import PeerConnection, PeerConnectionError, PendingCall
 from gypsumshift.routing import Router
 
-__all__ = ["Answer", "Lost", "Refusal", "Streamed", "Whole"]
+__all__ = ["AnswerReader", "LostAttempt", "Refusal", "StreamedAnswer", "CompleteAnswer"]
 
-WHOLE_LIMIT = 16 * 1024 * 1024
+MAX_BODY_BYTES = 16 * 1024 * 1024
 EVENT_STREAM = b"text/event-stream"
 
 
 @attrs.frozen
-class Whole:
+class CompleteAnswer:
     """A whole answer of a backend server.
 
     Attributes
@@ -36,7 +36,7 @@
 
 
 @attrs.define
-class Streamed:
+class StreamedAnswer:
     """A streamed answer under way; its end may yet fail.
 
     Attributes
@@ -55,7 +55,7 @@
     chunks: AsyncIterator[bytes]
     backend: str
     sidecar: str
-    answer: "Answer"
+    reader: "AnswerReader"
     spans: list[Span] = attrs.field(factory=list)
 
 
@@ -78,7 +78,7 @@
 
 
 @attrs.frozen
-class Lost:
+class LostAttempt:
     """An attempt that may have run.
 
     Attributes
@@ -91,11 +91,11 @@
 
     reason: str
     attempt: str
-    ended: bool = False
+    server_ended: bool = False
 
 
 @attrs.define
-class Answer:
+class AnswerReader:
     """Takes the answer of one attempt.
 
     Attributes
@@ -113,107 +113,113 @@
 
     router: Router
     clock: Clock
-    known: Known
+    sidecar: Peer
     attempt: str
-    link: Link
-    exchange: Exchanges
-    ended: bool = False
+    connection: PeerConnection
+    call: PendingCall
+    server_ended: bool = False
 
-    async def take(self, began: float) -> Whole | Streamed | Refusal | Lost | Unknown:
+    async def read(
+        self, began: float
+    ) -> CompleteAnswer | StreamedAnswer | Refusal | LostAttempt | Unknown:
         """Return the answer, or how the attempt failed."""
         streaming = False
         try:
-            body = await self.exchange.receive()
+            body = await self.call.receive()
             if body.whole is not None:
-                self.note_answer(began)
-                return self.end(body.whole.head, body.whole.body, body.whole.end)
+                self.record_answer(began)
+                return self.complete_answer(
+                    body.whole.head, body.whole.body, body.whole.end
+                )
             if body.head is None:
-                return self.failure(body)
-            self.note_answer(began)
+                return self.read_failure(body)
+            self.record_answer(began)
             if is_stream(body.head):
                 streaming = True
-                return self.streamed(body.head)
-            return await self.collect(body.head)
+                return self.streamed_answer(body.head)
+            return await self.read_body(body.head)
         finally:
             if not streaming:
-                self.exchange.close()
+                self.call.close()
 
-    def note_answer(self, began: float) -> None:
+    def record_answer(self, began: float) -> None:
         """Tell the router that the sidecar answered."""
-        self.router.answered(self.known, self.clock.monotonic() - began)
+        self.router.record_answer(self.sidecar, self.clock.monotonic() - began)
 
-    def end(self, head: Head, body: bytes, end: End) -> Whole:
+    def complete_answer(self, head: Head, body: bytes, end: End) -> CompleteAnswer:
         """Return a whole answer."""
-        self.take_load(end.load)
-        return Whole(head, body, self.known.member.backend, end.spans)
+        self.record_load(end.load)
+        return CompleteAnswer(head, body, self.sidecar.member.backend, end.spans)
 
-    def failure(self, body: Body) -> Refusal | Lost:
+    def read_failure(self, body: Body) -> Refusal | LostAttempt:
         """Return how an attempt failed."""
         if body.refused is not None:
-            self.take_load(body.refused.load)
+            self.record_load(body.refused.load)
             refused = body.refused
             wait = refused.retry_after_ms / 1000
             return Refusal(refused.reason, wait, bool(refused.busy))
-        self.router.failed(self.known)
-        self.note_end(body)
+        self.router.record_failure(self.sidecar)
+        self.record_server_end(body)
         reason = body.broken.reason if body.broken else "an answer out of order"
-        return Lost(reason, self.attempt, self.ended)
+        return LostAttempt(reason, self.attempt, self.server_ended)
 
-    def note_end(self, body: Body) -> None:
+    def record_server_end(self, body: Body) -> None:
         """Take from a broken answer whether the backend server is gone.
 
         Its sidecar asked it behind the break.
         """
         load = body.broken.load if body.broken else None
-        self.ended = load is not None and not load.healthy
+        self.server_ended = load is not None and not load.healthy
 
-    async def collect(self, head: Head):
+    async def read_body(self, head: Head):
         """Collect a long body up to its end; a broken one is no answer."""
         parts = bytearray()
         while True:
-            body = await self.exchange.receive()
+            body = await self.call.receive()
             if body.end is not None:
-                return self.end(head, bytes(parts), body.end)
+                return self.complete_answer(head, bytes(parts), body.end)
             if body.chunk is None:
-                return self.failure(body)
+                return self.read_failure(body)
             parts += body.chunk.data
-            if len(parts) > WHOLE_LIMIT:
-                return Unknown(f"the answer exceeds {WHOLE_LIMIT} bytes")
+            if len(parts) > MAX_BODY_BYTES:
+                return Unknown(f"the answer exceeds {MAX_BODY_BYTES} bytes")
 
-    def streamed(self, head: Head) -> Streamed:
+    def streamed_answer(self, head: Head) -> StreamedAnswer:
         """Return a stream whose chunks are read by whoever takes it."""
         spans: list[Span] = []
-        member = self.known.member
-        chunks = self.chunks(spans)
-        return Streamed(head, chunks, member.backend, member.name, self, spans)
+        member = self.sidecar.member
+        chunks = self.read_chunks(spans)
+        return StreamedAnswer(head, chunks, member.backend, member.name, self, spans)
 
-    async def chunks(self, spans: list[Span]):
+    async def read_chunks(self, spans: list[Span]):
         """Yield a stream's chunks; fill in the spans at its end."""
         ended = False
         try:
             while True:
-                body = await self.exchange.receive()
+                body = await self.call.receive()
                 if body.chunk is not None:
                     yield body.chunk.data
                     continue
                 ended = True
                 if body.end is None:
-                    self.router.failed(self.known)
-                    self.note_end(body)
-                    raise LinkError("the backend server broke the stream", True)
+                    self.router.record_failure(self.sidecar)
+                    self.record_server_end(body)
+                    raise PeerConnectionError(
+                        "the backend server broke the stream", True
+                    )
                 spans.extend(body.end.spans)
-                self.take_load(body.end.load)
+                self.record_load(body.end.load)
                 return
         finally:
             if not ended:
-                self.link.tell(Body(cancel=Cancel(self.attempt)))
-            self.exchange.close()
-            self.router.ended(self.known)
+                self.connection.send_oneway(Body(cancel=Cancel(self.attempt)))
+            self.call.close()
+            self.router.record_ended(self.sidecar)
 
-    def take_load(self, load: Load) -> None:
+    def record_load(self, load: Load) -> None:
         """Take the load report that came along."""
-        self.router.view.report(self.known, load)
-        self.router.reported(self.known)
+        self.router.membership.record_load(self.sidecar, load)
+        self.router.record_report(self.sidecar)
 
 
 def is_stream(head: Head) -> bool:
--- a/gypsumshift/attemptrunner.py
+++ b/gypsumshift/attemptrunner.py
@@ -13,12 +13,12 @@
     distinct_versions,
     send_to_backend,
 )
+from gypsumshift.concurrencylimit import AdaptiveLimit, FixedLimit
 from gypsumshift.generated import messages
 from gypsumshift.generated.declarations import Pool
 from gypsumshift.generated.messages import Body, RequestClass, Start
 from gypsumshift.httpclient import Fetcher, FetchError
-from gypsumshift.limits import FixedLimit, LearntLimit
-from gypsumshift.links import Session
+from gypsumshift.peerconnection import PeerSession
 from gypsumshift.process import Process
 
 __all__ = ["AttemptRun", "AttemptRunner"]
@@ -44,7 +44,7 @@
     """
 
     start: Start
-    session: Session
+    session: PeerSession
     exchange: int
     task: asyncio.Task | None = None
 
@@ -79,14 +79,18 @@
         fresh = new_admission(pool, self.clock)
         if type(self.admission) is type(fresh):
             self.admission.limit = fresh.limit
-            self.admission.queue = fresh.queue
+            self.admission.max_waiting = fresh.max_waiting
         elif not self.running:
             self.admission = fresh
 
     def current_load(self) -> messages.Load:
         """Return the load of the backend server."""
         admission, state = self.admission, self.backend.state
-        waits = admission.waiting * admission.duration / max(1, admission.limit.value)
+        waits = (
+            admission.waiting
+            * admission.average_duration
+            / max(1, admission.limit.value)
+        )
         return messages.Load(
             running=admission.running,
             queued=admission.waiting,
@@ -95,15 +99,15 @@
             version=state.version or 0,
             healthy=state.healthy,
             swapping=self.backend.swapping,
-            duration_s=admission.duration,
+            duration_s=admission.average_duration,
             mark=self.attempt_log.arrivals,
-            queued_clients=admission.waiting_of[RequestClass.CLIENT],
-            queued_internal=admission.waiting_of[RequestClass.INTERNAL],
+            queued_clients=admission.waiting_by_class[RequestClass.CLIENT],
+            queued_internal=admission.waiting_by_class[RequestClass.INTERNAL],
         )
 
     # Beginning
 
-    def accept_attempt(self, session: Session, exchange: int, start: Start) -> None:
+    def accept_attempt(self, session: PeerSession, exchange: int, start: Start) -> None:
         """Take one attempt, and run it in a task of its own."""
         run = AttemptRun(start, session, exchange)
         reason = self.refusal_reason(start)
@@ -112,12 +116,12 @@
             return
         self.running[start.attempt] = run
         if not start.repeatable:
-            self.attempt_log.start(start.attempt)
+            self.attempt_log.record_start(start.attempt)
         run.task = self.process.spawn(self.run_attempt(run))
 
     def refusal_reason(self, start: Start) -> str:
         """Return what stands against an attempt; empty for nothing."""
-        own, view = self.process.own, self.process.view
+        own, view = self.process.member, self.process.membership
         if start.incarnation != own.incarnation:
             return "meant for an earlier process here"
         if start.attempt in self.running:
@@ -126,7 +130,7 @@
             return "barred"
         if own.leaving:
             return "leaving"
-        if view.deposed(own.backend, own.fence):
+        if view.is_superseded(own.backend, own.fence):
             return "replaced by a newer sidecar"
         if not self.process.active_revision.ready:
             return "no revision yet"
@@ -140,7 +144,7 @@
         """Tell whether a request would run at once, and not through a swap."""
         if self.backend.swapping and start.request_class != RequestClass.SAMPLE:
             return False
-        return self.admission.has_place(start.request_class)
+        return self.admission.has_free_slot(start.request_class)
 
     async def send_refusal(
         self, run: AttemptRun, reason: str, retry_after: float
@@ -164,13 +168,13 @@
         try:
             retry_after = await self.wait_for_slot(ticket)
             if retry_after:
-                self.attempt_log.withdraw(run.start.attempt)
+                self.attempt_log.mark_never_sent(run.start.attempt)
                 last = self.make_refusal(run, "overload", retry_after)
             else:
                 last = await self.send_attempt(run, ticket)
         finally:
             self.admission.withdraw(ticket)
-            if ticket.admitted:
+            if ticket.admitted_at:
                 answered = last is not None and not (last.broken or last.refused)
                 self.admission.release(ticket, answered)
             self.running.pop(run.start.attempt, None)
@@ -199,7 +203,9 @@
     async def wait_for_slot(self, ticket: Ticket) -> float:
         """Wait for a place; return 0, or seconds to come back after."""
         decided = asyncio.get_running_loop().create_future()
-        ticket.decide = lambda admitted: decided.done() or decided.set_result(admitted)
+        ticket.on_decision = lambda admitted: (
+            decided.done() or decided.set_result(admitted)
+        )
         retry_after = self.admission.offer(ticket)
         if retry_after:
             return retry_after
@@ -211,7 +217,11 @@
                 admitted = await decided
         except TimeoutError:
             admitted = decided.done() and decided.result()
-        return 0.0 if admitted else self.admission.refuse(self.admission.duration)
+        return (
+            0.0
+            if admitted
+            else self.admission.count_refusal(self.admission.average_duration)
+        )
 
     # Sending
 
@@ -234,7 +244,7 @@
         except FetchError as error:
             if error.sent and error.closed:
                 # The load in the answer then says whether it is gone.
-                await self.backend.ask()
+                await self.backend.fetch_state()
             return self.make_failure(run, str(error), error.sent)
         except TimeoutError:
             return self.make_failure(run, "no answer in time", True)
@@ -268,11 +278,11 @@
         """Label an answer that has ended, and keep it where it may be asked for."""
         after = None
         if reply.reader.needs_final_version:
-            after = (await self.backend.ask()).version
+            after = (await self.backend.fetch_state()).version
         spans = reply.reader.spans(after)
         if not run.start.repeatable:
             head = reply.head if len(kept) <= MAX_KEPT_BODY_BYTES else None
-            self.attempt_log.finish(run.start.attempt, head, bytes(kept))
+            self.attempt_log.record_end(run.start.attempt, head, bytes(kept))
         seen = ",".join(str(version) for version in distinct_versions(spans))
         detail = f"versions {seen}" if seen else ""
         self.recorder.note("end", run.start.attempt, detail)
@@ -282,10 +292,10 @@
         """Return that an attempt failed: not run where nothing was sent."""
         attempt = run.start.attempt
         if not sent:
-            self.attempt_log.withdraw(attempt)
+            self.attempt_log.mark_never_sent(attempt)
             return self.make_refusal(run, reason, RETRY_AFTER_S)
         if not run.start.repeatable:
-            self.attempt_log.finish(attempt, None, b"")
+            self.attempt_log.record_end(attempt, None, b"")
         self.recorder.note("broken", attempt, reason)
         return Body(broken=messages.Broken(reason))
 
@@ -299,12 +309,12 @@
 
     def bar_attempt(self, bar: messages.Bar) -> messages.BarReply:
         """Answer what became of an attempt; one not started never will."""
-        if bar.incarnation != self.process.own.incarnation:
+        if bar.incarnation != self.process.member.incarnation:
             return messages.BarReply(messages.AttemptState.UNKNOWN, None, b"")
         record = self.attempt_log.bar(bar.attempt)
         return messages.BarReply(record.state, record.head, record.body)
 
-    def cancel_session_attempts(self, session: Session) -> None:
+    def cancel_session_attempts(self, session: PeerSession) -> None:
         """Give up what a lost entry can no longer receive."""
         for attempt, run in list(self.running.items()):
             if run.session is session:
@@ -314,6 +324,6 @@
 def new_admission(pool: Pool, clock) -> Admission:
     """Return the admission that a pool declares."""
     learns = pool.learn_concurrency and pool.kind == "service"
-    limit = (LearntLimit if learns else FixedLimit)(pool.concurrency)
+    limit = (AdaptiveLimit if learns else FixedLimit)(pool.concurrency)
     kind = {"fair": FairAdmission, "fifo": FifoAdmission}[pool.admission]
     return kind(limit, pool.queue, clock)
--- a/gypsumshift/attempts.py
+++ b/gypsumshift/attempts.py
@@ -14,25 +14,25 @@
 
 from gypsumshift.generated.messages import AttemptState, Head
 
-__all__ = ["AttemptLog", "Record", "new_attempt"]
+__all__ = ["AttemptLog", "AttemptRecord", "new_attempt_name"]
 
-RECORD_LIMIT = 20_000
-BODY_BUDGET = 32 * 1024 * 1024
+MAX_RECORDS = 20_000
+MAX_BODY_BYTES = 32 * 1024 * 1024
 
 
-def new_attempt(mark: int) -> str:
+def new_attempt_name(mark: int) -> str:
     """Return a name for an attempt at a sidecar last heard at ``mark``."""
     return f"{mark}-{secrets.token_hex(8)}"
 
 
-def mark_of(attempt: str) -> int:
+def parse_mark(attempt: str) -> int:
     """Return the mark in an attempt's name; 0 where it has none."""
     mark = attempt.partition("-")[0]
     return int(mark) if mark.isdigit() else 0
 
 
 @attrs.define
-class Record:
+class AttemptRecord:
     """One attempt that may not be repeated.
 
     Attributes
@@ -56,28 +56,33 @@
     """Memory of one sidecar, for as long as its process lives."""
 
     def __init__(self):
-        self.records: collections.OrderedDict[str, Record] = collections.OrderedDict()
+        self.records: collections.OrderedDict[str, AttemptRecord] = (
+            collections.OrderedDict()
+        )
         self.arrivals = 0
-        self.forgotten = 0
+        self.last_dropped_arrival = 0
         self.body_bytes = 0
 
     def may_start(self, attempt: str) -> bool:
         """Tell whether an attempt may start: neither known nor perhaps forgotten."""
-        return attempt not in self.records and mark_of(attempt) >= self.forgotten
+        return (
+            attempt not in self.records
+            and parse_mark(attempt) >= self.last_dropped_arrival
+        )
 
-    def start(self, attempt: str) -> None:
+    def record_start(self, attempt: str) -> None:
         """Put an attempt on record, before anything of it is sent."""
-        self.put(attempt, AttemptState.RUNNING)
+        self.add_record(attempt, AttemptState.RUNNING)
 
-    def put(self, attempt: str, state: int) -> Record:
+    def add_record(self, attempt: str, state: int) -> AttemptRecord:
         """Add a record, forgetting the oldest where there are too many."""
         self.arrivals += 1
-        record = self.records[attempt] = Record(self.arrivals, state)
-        if len(self.records) > RECORD_LIMIT:
-            self.forget_oldest()
+        record = self.records[attempt] = AttemptRecord(self.arrivals, state)
+        if len(self.records) > MAX_RECORDS:
+            self.drop_oldest()
         return record
 
-    def finish(self, attempt: str, head: Head | None, body: bytes) -> None:
+    def record_end(self, attempt: str, head: Head | None, body: bytes) -> None:
         """Keep the whole answer of an attempt; without a head its end is unknown."""
         record = self.records.get(attempt)
         if record is None:
@@ -87,25 +92,25 @@
             return
         record.state, record.head, record.body = AttemptState.DONE, head, body
         self.body_bytes += len(body)
-        while self.body_bytes > BODY_BUDGET:
-            self.forget_oldest()
+        while self.body_bytes > MAX_BODY_BYTES:
+            self.drop_oldest()
 
-    def forget_oldest(self) -> None:
+    def drop_oldest(self) -> None:
         """Drop the oldest record, remembering that something was dropped."""
         _, record = self.records.popitem(last=False)
         self.body_bytes -= len(record.body)
-        self.forgotten = record.arrival
+        self.last_dropped_arrival = record.arrival
 
-    def withdraw(self, attempt: str) -> None:
+    def mark_never_sent(self, attempt: str) -> None:
         """Mark an attempt that turned out never to have been sent."""
         record = self.records.get(attempt)
         if record is not None:
             record.state = AttemptState.NEVER
 
-    def bar(self, attempt: str) -> Record:
+    def bar(self, attempt: str) -> AttemptRecord:
         """Return what became of an attempt; one that never started never will."""
         if attempt in self.records:
             return self.records[attempt]
-        if mark_of(attempt) < self.forgotten:
-            return Record(state=AttemptState.UNKNOWN)
-        return self.put(attempt, AttemptState.NEVER)
+        if parse_mark(attempt) < self.last_dropped_arrival:
+            return AttemptRecord(state=AttemptState.UNKNOWN)
+        return self.add_record(attempt, AttemptState.NEVER)
--- a/gypsumshift/backend.py
+++ b/gypsumshift/backend.py
@@ -2,7 +2,7 @@
 
 from gypsumshift import logs
 from gypsumshift.clock import Clock
-from gypsumshift.dialects import DIALECTS, Dialect, State
+from gypsumshift.dialects import DIALECTS, BackendState, Dialect
 from gypsumshift.events import Recorder
 from gypsumshift.generated.declarations import Pool
 from gypsumshift.httpclient import Fetcher, FetchError
@@ -11,10 +11,10 @@
 
 __all__ = ["Backend", "Fence"]
 
-STATE_TIMEOUT = 2.0
+STATE_TIMEOUT_S = 2.0
 LATE_ORDER_FACTOR = 5.0
 BACKENDS_TABLE = "backends"
-FENCE_PERIOD = 1.0
+FENCE_RETRY_PERIOD_S = 1.0
 
 log = logs.logger("backend")
 
@@ -38,7 +38,7 @@
         self.fetcher = fetcher
         self.recorder: Recorder = recorder
         self.name = name
-        self.state = State(False)
+        self.state = BackendState(False)
         self.swapping = False
         self.failed_swaps = 0
 
@@ -47,15 +47,15 @@
         """How it reports and takes orders."""
         return DIALECTS[self.pool.dialect]
 
-    async def ask(self) -> State:
+    async def fetch_state(self) -> BackendState:
         """Ask for its state now."""
         try:
             answer = await self.fetcher.fetch(
-                self.address, "GET", self.dialect.state_target, timeout=STATE_TIMEOUT
+                self.address, "GET", self.dialect.state_target, timeout=STATE_TIMEOUT_S
             )
             state = self.dialect.parse_state(answer.status, answer.body)
         except FetchError:
-            state = State(False)
+            state = BackendState(False)
         if state.healthy != self.state.healthy:
             kind = "healthy" if state.healthy else "unhealthy"
             self.recorder.note(kind, self.name, "by its own report")
@@ -68,7 +68,7 @@
         An order whose answer is late or lost counts for nothing: what it reports
         afterwards decides.
         """
-        order = self.dialect.load_order(self.pool.name, version, fence)
+        order = self.dialect.weight_load_order(self.pool.name, version, fence)
         if order is None:
             return True
         self.swapping = True
@@ -86,7 +86,7 @@
             log.warning("An order to load version {} failed: {}.", version, error)
         finally:
             self.swapping = False
-        state = await self.ask()
+        state = await self.fetch_state()
         loaded = state.version == version
         self.failed_swaps = 0 if loaded else self.failed_swaps + 1
         kind = "loaded" if loaded else "load-failed"
@@ -113,12 +113,12 @@
         self.clock = clock
         self.number = 0
 
-    async def take(self) -> int:
+    async def acquire(self) -> int:
         """Take the next number from the platform, waiting while it is down."""
         while True:
             row = await self.tables.read(BACKENDS_TABLE, self.backend)
             if isinstance(row, Unavailable):
-                await self.clock.sleep(FENCE_PERIOD)
+                await self.clock.sleep(FENCE_RETRY_PERIOD_S)
                 continue
             if not isinstance(row, Missing) and row.value["owner"] == self.owner:
                 self.number = row.value["fence"]
@@ -129,9 +129,9 @@
             write = Write(BACKENDS_TABLE, self.backend, value, version)
             outcome = await self.tables.commit([write])
             if not isinstance(outcome, (Committed, Conflict)):
-                await self.clock.sleep(FENCE_PERIOD)
+                await self.clock.sleep(FENCE_RETRY_PERIOD_S)
 
-    async def deposed(self) -> bool:
+    async def is_superseded(self) -> bool:
         """Tell whether the platform knows a newer owner; False while it is down."""
         row = await self.tables.read(BACKENDS_TABLE, self.backend)
         if isinstance(row, (Missing, Unavailable)):
--- a/gypsumshift/backendrequest.py
+++ b/gypsumshift/backendrequest.py
@@ -72,7 +72,7 @@
         if data == b"[DONE]":
             return
         try:
-            piece = self.dialect.piece(json.loads(data))
+            piece = self.dialect.read_event_tokens(json.loads(data))
         except (ValueError, AttributeError, TypeError):
             self.labeller.bare = True
             return
@@ -113,7 +113,7 @@
     def spans(self, after: int | None) -> list[Span]:
         """Return empty spans that name the versions; none where none is reported."""
         try:
-            version = self.dialect.piece(json.loads(self.body)).version
+            version = self.dialect.read_event_tokens(json.loads(self.body)).version
         except (ValueError, AttributeError, TypeError):
             return []
         if version is None:
--- a/gypsumshift/dialects.py
+++ b/gypsumshift/dialects.py
@@ -6,14 +6,22 @@
 import attrs
 from prometheus_client.parser import text_string_to_metric_families
 
-__all__ = ["DIALECTS", "Dialect", "Order", "Plain", "Sglang", "State", "Vllm"]
+__all__ = [
+    "DIALECTS",
+    "Dialect",
+    "WeightLoadOrder",
+    "PlainDialect",
+    "SglangDialect",
+    "BackendState",
+    "VllmDialect",
+]
 
 FENCING_HEADER = "fencing-number"
 JSON_TYPE = ("content-type", "application/json")
 
 
 @attrs.frozen
-class State:
+class BackendState:
     """What a backend server reports of itself.
 
     Attributes
@@ -32,7 +40,7 @@
 
 
 @attrs.frozen
-class Order:
+class WeightLoadOrder:
     """An HTTP request that gives an order to a backend server."""
 
     method: str
@@ -42,7 +50,7 @@
 
 
 @attrs.frozen
-class Piece:
+class EventTokens:
     """What one event of a stream says about tokens.
 
     Attributes
@@ -63,16 +71,18 @@
     state_target = "/health"
 
     @abc.abstractmethod
-    def parse_state(self, status: int, body: bytes) -> State:
+    def parse_state(self, status: int, body: bytes) -> BackendState:
         """Return the state in an answer to ``GET state_target``."""
 
-    def load_order(self, pool: str, version: int, fence: int) -> Order | None:
+    def weight_load_order(
+        self, pool: str, version: int, fence: int
+    ) -> WeightLoadOrder | None:
         """Return the order to load weights; None where it takes none."""
         return None
 
-    def piece(self, event: dict) -> Piece:
+    def read_event_tokens(self, event: dict) -> EventTokens:
         """Return what one event of a stream says about tokens."""
-        return Piece()
+        return EventTokens()
 
 
 def token_count(event: dict) -> int:
@@ -81,13 +91,13 @@
     return len(choices[0].get("token_ids") or [])
 
 
-def number(text: object) -> int | None:
+def parse_version(text: object) -> int | None:
     """Return a weight version as the vendors write it, such as 7 or weights-7."""
     digits = str(text).rpartition("-")[2]
     return int(digits) if digits.isdigit() else None
 
 
-class Vllm(Dialect):
+class VllmDialect(Dialect):
     """State as Prometheus text, versions in ``system_fingerprint``."""
 
     state_target = "/metrics"
@@ -95,32 +105,34 @@
     def parse_state(self, status, body):
         """Return the state on the metrics page."""
         if status != 200:
-            return State(False)
+            return BackendState(False)
         values, version = {}, None
         try:
             for family in text_string_to_metric_families(body.decode()):
                 for sample in family.samples:
                     values[sample.name] = sample.value
                     if "weight_version" in sample.labels:
-                        version = number(sample.labels["weight_version"])
+                        version = parse_version(sample.labels["weight_version"])
         except ValueError:
-            return State(False)
+            return BackendState(False)
         running = int(values.get("vllm:num_requests_running", 0))
         waiting = int(values.get("vllm:num_requests_waiting", 0))
-        return State(True, running, waiting, version)
+        return BackendState(True, running, waiting, version)
 
-    def load_order(self, pool, version, fence):
+    def weight_load_order(self, pool, version, fence):
         """Return the order to load weights."""
         body = json.dumps({"model": pool, "weight_version": version}).encode()
         headers = [JSON_TYPE, (FENCING_HEADER, str(fence))]
-        return Order("POST", "/reload_weights", headers, body)
+        return WeightLoadOrder("POST", "/reload_weights", headers, body)
 
-    def piece(self, event):
+    def read_event_tokens(self, event):
         """Return what one event of a stream says about tokens."""
-        return Piece(token_count(event), number(event.get("system_fingerprint")))
+        return EventTokens(
+            token_count(event), parse_version(event.get("system_fingerprint"))
+        )
 
 
-class Sglang(Dialect):
+class SglangDialect(Dialect):
     """State as JSON server info, versions in ``metadata.weight_version``."""
 
     state_target = "/get_server_info"
@@ -132,34 +144,40 @@
             inner = (info.get("internal_states") or [{}])[0]
             running = int(inner.get("num_running_reqs", 0))
             waiting = int(inner.get("num_waiting_reqs", 0))
-            version = number(info.get("weight_version"))
+            version = parse_version(info.get("weight_version"))
         except (ValueError, TypeError, AttributeError, IndexError):
-            return State(False)
-        return State(status == 200, running, waiting, version)
+            return BackendState(False)
+        return BackendState(status == 200, running, waiting, version)
 
-    def load_order(self, pool, version, fence):
+    def weight_load_order(self, pool, version, fence):
         """Return the order to load weights."""
         value = {"model_path": f"{pool}/{version}", "weight_version": str(version)}
         headers = [JSON_TYPE, (FENCING_HEADER, str(fence))]
         body = json.dumps(value).encode()
-        return Order("POST", "/update_weights_from_disk", headers, body)
+        return WeightLoadOrder("POST", "/update_weights_from_disk", headers, body)
 
-    def piece(self, event):
+    def read_event_tokens(self, event):
         """Return what one event of a stream says about tokens."""
         metadata = event.get("metadata") or {}
-        return Piece(token_count(event), number(metadata.get("weight_version")))
+        return EventTokens(
+            token_count(event), parse_version(metadata.get("weight_version"))
+        )
 
 
-class Plain(Dialect):
+class PlainDialect(Dialect):
     """A plain service with a health page in JSON."""
 
     def parse_state(self, status, body):
         """Return the state on the health page."""
         try:
             page = json.loads(body)
-            return State(status == 200, int(page.get("running", 0)))
+            return BackendState(status == 200, int(page.get("running", 0)))
         except (ValueError, TypeError, AttributeError):
-            return State(status == 200)
+            return BackendState(status == 200)
 
 
-DIALECTS: dict[str, Dialect] = {"vllm": Vllm(), "sglang": Sglang(), "plain": Plain()}
+DIALECTS: dict[str, Dialect] = {
+    "vllm": VllmDialect(),
+    "sglang": SglangDialect(),
+    "plain": PlainDialect(),
+}
--- a/gypsumshift/dispatch.py
+++ b/gypsumshift/dispatch.py
@@ -6,10 +6,15 @@
 
 import attrs
 
-from gypsumshift.answers import Answer, Lost, Refusal, Streamed, Whole
-from gypsumshift.attempts import new_attempt
+from gypsumshift.attemptresults import (
+    AnswerReader,
+    CompleteAnswer,
+    LostAttempt,
+    Refusal,
+    StreamedAnswer,
+)
+from gypsumshift.attempts import new_attempt_name
 from gypsumshift.backendrequest import end_to_end_headers
-from gypsumshift.budgets import RetryBudget
 from gypsumshift.generated.messages import (
     AttemptState,
     Bar,
@@ -20,31 +25,32 @@
     RequestClass,
     Start,
 )
-from gypsumshift.links import LinkError
-from gypsumshift.members import Known
+from gypsumshift.membership import Peer
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import HeldBack, NotRun, Unknown
+from gypsumshift.peerconnection import PeerConnectionError
 from gypsumshift.process import Process
+from gypsumshift.retrybudget import RetryBudget
 from gypsumshift.routing import ROUTERS, Router
 from gypsumshift.serving.crashguard import CrashGuard, Permit
 from gypsumshift.serving.directory import ServerStart
 from gypsumshift.serving.fingerprints import fingerprint
 
-__all__ = ["Dispatcher", "Job", "mark", "not_run"]
+__all__ = ["Dispatcher", "PoolRequest", "last_mark", "not_run_outcome"]
 
-MOST_TRIES = 4
-MOST_PROBES = 2
-TIMEOUT_SHRINK = 0.95
-BAR_TIMEOUT = 0.5
-BAR_TRIES = 3
-BAR_PAUSE = 0.1
-FOLLOW_PERIOD = 0.1
+MAX_TRIES = 4
+MAX_NO_WAIT_TRIES = 2
+SIDECAR_TIMEOUT_SHARE = 0.95
+BAR_TIMEOUT_S = 0.5
+MAX_BAR_TRIES = 3
+BAR_RETRY_PAUSE_S = 0.1
+STATE_POLL_PERIOD_S = 0.1
 # Seconds between two looks at what the guard may forget.
-SWEEP_PERIOD = 10.0
+SWEEP_PERIOD_S = 10.0
 
 
 @attrs.define
-class Job:
+class PoolRequest:
     """One request to bring to a pool.
 
     Attributes
@@ -132,12 +138,12 @@
         async with asyncio.TaskGroup() as group:
             group.create_task(self.guard.table.watch.run())
             group.create_task(self.guard.run())
-            group.create_task(self.sweep())
+            group.create_task(self.run_sweep_loop())
 
-    async def sweep(self) -> None:
+    async def run_sweep_loop(self) -> None:
         """Forget what is too old, now and then."""
         while True:
-            await self.clock.sleep(SWEEP_PERIOD)
+            await self.clock.sleep(SWEEP_PERIOD_S)
             self.guard.sweep()
 
     def router(self, pool: str) -> Router:
@@ -145,7 +151,7 @@
         declared = self.process.active_revision.catalog.pools.get(pool)
         kind = declared.routing if declared else "load"
         if type(self.routers.get(pool)) is not ROUTERS[kind]:
-            view, chance = self.process.view, self.process.random
+            view, chance = self.process.membership, self.process.random
             self.routers[pool] = ROUTERS[kind](pool, view, self.clock, chance)
         return self.routers[pool]
 
@@ -158,135 +164,143 @@
         budget.ratio, budget.burst = ratio, burst
         return budget
 
-    async def send(self, job: Job) -> Whole | Streamed | NotRun | Unknown:
+    async def send(
+        self, job: PoolRequest
+    ) -> CompleteAnswer | StreamedAnswer | NotRun | Unknown:
         """Try backend servers until one answers, unless servers end under it."""
         permit = await self.guard.admit(job.fingerprint, job.workspace)
         if isinstance(permit, HeldBack):
             return permit
         result = None
         try:
-            result = await self.send_on(job, permit)
+            result = await self.try_sidecars(job, permit)
             return result
         finally:
-            if not isinstance(result, Streamed):
+            if not isinstance(result, StreamedAnswer):
                 self.guard.release_permit(permit, job.attempts > 0)
 
-    async def send_on(
-        self, job: Job, permit: Permit
-    ) -> Whole | Streamed | NotRun | Unknown:
+    async def try_sidecars(
+        self, job: PoolRequest, permit: Permit
+    ) -> CompleteAnswer | StreamedAnswer | NotRun | Unknown:
         """Try backend servers until one answers, or nothing is left to try."""
         router, budget = self.router(job.pool), self.budget(job.workspace)
-        budget.earn()
+        budget.record_request()
         refusal = Refusal(f"no backend server of {job.pool} is known here", 1.0)
         lost = None
-        for _ in range(MOST_TRIES + MOST_PROBES):
+        for _ in range(MAX_TRIES + MAX_NO_WAIT_TRIES):
             if not self.guard.may_send(permit, 0, job.attempts > 0):
                 break
             known = self.next_sidecar(job, router)
             if known is None or job.deadline <= self.clock.monotonic():
                 break
-            result = await self.attempt(job, known, new_attempt(mark(known)))
-            if isinstance(result, Lost) and result.ended:
+            result = await self.run_attempt(
+                job, known, new_attempt_name(last_mark(known))
+            )
+            if isinstance(result, LostAttempt) and result.server_ended:
                 self.guard.record_crash(permit, backend_start(known))
-            if isinstance(result, Lost):
+            if isinstance(result, LostAttempt):
                 if not job.repeatable:
-                    result = await self.settle(job, known, result)
-                elif not budget.spend():
+                    result = await self.resolve_lost_attempt(job, known, result)
+                elif not budget.try_spend():
                     return Unknown(f"{result.reason}; no retry is left")
             if isinstance(result, Refusal):
                 refusal = result
                 if result.busy:
                     job.busy.add(known.member.name)
-            elif isinstance(result, Lost):
+            elif isinstance(result, LostAttempt):
                 lost = result
             else:
-                return self.settled(result, permit, known)
+                return self.report_to_guard(result, permit, known)
         # One attempt that may have run makes the whole unknown, whatever came after.
-        return Unknown(lost.reason) if lost else not_run(refusal)
+        return Unknown(lost.reason) if lost else not_run_outcome(refusal)
 
-    def settled(self, result, permit: Permit, known: Known):
+    def report_to_guard(self, result, permit: Permit, known: Peer):
         """Have the guard learn from an answer, or from the end of a stream."""
-        if isinstance(result, Whole):
+        if isinstance(result, CompleteAnswer):
             self.guard.record_answer(permit, result.head.status)
-        if isinstance(result, Streamed):
-            result.chunks = self.guarded(result.chunks, result, permit, known)
+        if isinstance(result, StreamedAnswer):
+            result.chunks = self.guarded_chunks(result.chunks, result, permit, known)
         return result
 
-    async def guarded(self, chunks, result: Streamed, permit: Permit, known: Known):
+    async def guarded_chunks(
+        self, chunks, result: StreamedAnswer, permit: Permit, known: Peer
+    ):
         """Yield the chunks of a stream, and have the guard learn how it ended."""
         try:
             async with contextlib.aclosing(chunks):
                 async for data in chunks:
                     yield data
             self.guard.record_answer(permit, result.head.status)
-        except LinkError:
-            if result.answer.ended:
+        except PeerConnectionError:
+            if result.reader.server_ended:
                 self.guard.record_crash(permit, backend_start(known))
             raise
         finally:
             self.guard.release_permit(permit, ran=True)
 
-    def next_sidecar(self, job: Job, router: Router) -> Known | None:
+    def next_sidecar(self, job: PoolRequest, router: Router) -> Peer | None:
         """Return the sidecar to try next.
 
         The first ones are asked to refuse rather than have the request wait, where
         they seem to have a place; then it waits where the wait seems shortest.
         """
         known = None
-        if len(job.busy) < MOST_PROBES:
-            known = router.choose(job.avoid, job.affinity, job.request_class)
+        if len(job.busy) < MAX_NO_WAIT_TRIES:
+            known = router.choose_sidecar(job.avoid, job.affinity, job.request_class)
             kind = job.request_class
-            job.no_wait = known is not None and router.has_place(known, kind)
+            job.no_wait = known is not None and router.has_free_slot(known, kind)
         if known is None and job.busy:
             job.avoid -= job.busy
             job.no_wait = False
-            known = router.choose(job.avoid, job.affinity, job.request_class)
+            known = router.choose_sidecar(job.avoid, job.affinity, job.request_class)
         if known is not None:
             job.avoid.add(known.member.name)
         return known
 
-    async def attempt(self, job: Job, known: Known, attempt: str):
+    async def run_attempt(self, job: PoolRequest, known: Peer, attempt: str):
         """Send one attempt to one sidecar and take its answer.
 
         Returns
         -------
         Whole, Streamed, Refusal, Lost or Unknown
         """
-        result = await self.exchange(job, known, attempt)
+        result = await self.send_attempt(job, known, attempt)
         job.attempts += not isinstance(result, Refusal)
         return result
 
-    async def exchange(self, job: Job, known: Known, attempt: str):
+    async def send_attempt(self, job: PoolRequest, known: Peer, attempt: str):
         """Send one attempt to one sidecar and take its answer."""
         router = self.router(job.pool)
-        link = self.process.link(known.address)
+        link = self.process.connection(known.address)
         began = self.clock.monotonic()
-        router.sent(known)
+        router.record_sent(known)
         handed_on = False
         try:
             async with asyncio.timeout(job.deadline - began):
-                start = self.start(job, known, attempt)
-                exchange = await link.open(Body(start=start))
-                answer = Answer(router, self.clock, known, attempt, link, exchange)
-                result = await answer.take(began)
-                handed_on = isinstance(result, Streamed)
+                start = self.start_message(job, known, attempt)
+                exchange = await link.start_call(Body(start=start))
+                answer = AnswerReader(
+                    router, self.clock, known, attempt, link, exchange
+                )
+                result = await answer.read(began)
+                handed_on = isinstance(result, StreamedAnswer)
                 return result
-        except LinkError as error:
-            router.failed(known)
+        except PeerConnectionError as error:
+            router.record_failure(known)
             if not error.sent:
                 return Refusal(str(error), 0.2)
-            return Lost(str(error), attempt)
+            return LostAttempt(str(error), attempt)
         except TimeoutError:
-            link.tell(Body(cancel=Cancel(attempt)))
-            return Lost("no answer in time", attempt)
+            link.send_oneway(Body(cancel=Cancel(attempt)))
+            return LostAttempt("no answer in time", attempt)
         except asyncio.CancelledError:
-            link.tell(Body(cancel=Cancel(attempt)))
+            link.send_oneway(Body(cancel=Cancel(attempt)))
             raise
         finally:
             if not handed_on:
-                router.ended(known)
+                router.record_ended(known)
 
-    def start(self, job: Job, known: Known, attempt: str) -> Start:
+    def start_message(self, job: PoolRequest, known: Peer, attempt: str) -> Start:
         """Return the order that starts an attempt."""
         remaining = job.deadline - self.clock.monotonic()
         fields = end_to_end_headers(
@@ -298,7 +312,7 @@
             incarnation=known.member.incarnation,
             workspace=job.workspace,
             request_class=job.request_class,
-            timeout_ms=max(1, int(remaining * TIMEOUT_SHRINK * 1000)),
+            timeout_ms=max(1, int(remaining * SIDECAR_TIMEOUT_SHARE * 1000)),
             method=job.method,
             target=job.target,
             headers=[Header(name, value) for name, value in fields],
@@ -310,53 +324,57 @@
             no_wait=job.no_wait,
         )
 
-    async def settle(self, job: Job, known: Known, lost: Lost):
+    async def resolve_lost_attempt(
+        self, job: PoolRequest, known: Peer, lost: LostAttempt
+    ):
         """Learn from the sidecar what became of an attempt that is not repeatable."""
-        reply = await self.follow(
+        reply = await self.await_final_state(
             known.address, known.member.incarnation, lost.attempt, job.deadline
         )
         if reply.state == AttemptState.NEVER:
             return Refusal(lost.reason, 0.2)
         if reply.state == AttemptState.DONE:
-            return Whole(reply.head, reply.body, known.member.backend)
+            return CompleteAnswer(reply.head, reply.body, known.member.backend)
         return Unknown(lost.reason)
 
-    async def follow(
+    async def await_final_state(
         self, address, incarnation: int, attempt: str, deadline: float
     ) -> BarReply:
         """Bar an attempt, or wait for its end where it runs already."""
         while True:
-            reply = await self.ask_bar(address, incarnation, attempt)
+            reply = await self.request_bar(address, incarnation, attempt)
             if reply.state != AttemptState.RUNNING:
                 return reply
-            if self.clock.monotonic() + FOLLOW_PERIOD >= deadline:
+            if self.clock.monotonic() + STATE_POLL_PERIOD_S >= deadline:
                 return reply
-            await self.clock.sleep(FOLLOW_PERIOD)
+            await self.clock.sleep(STATE_POLL_PERIOD_S)
 
-    async def ask_bar(self, address, incarnation: int, attempt: str) -> BarReply:
+    async def request_bar(self, address, incarnation: int, attempt: str) -> BarReply:
         """Bar an attempt where it never started; unknown where nobody answers."""
         question = Body(bar=Bar(attempt, incarnation))
-        for _ in range(BAR_TRIES):
+        for _ in range(MAX_BAR_TRIES):
             try:
-                answer = await self.process.link(address).ask(question, BAR_TIMEOUT)
+                answer = await self.process.connection(address).call(
+                    question, BAR_TIMEOUT_S
+                )
                 if answer.bar_reply is not None:
                     return answer.bar_reply
-            except LinkError:
-                await self.clock.sleep(BAR_PAUSE)
+            except PeerConnectionError:
+                await self.clock.sleep(BAR_RETRY_PAUSE_S)
         return BarReply(AttemptState.UNKNOWN, None, b"")
 
 
-def backend_start(known: Known) -> ServerStart:
+def backend_start(known: Peer) -> ServerStart:
     """Return the backend server beside a sidecar, which tells no start of it."""
     return ServerStart(known.member.backend, 0)
 
 
-def mark(known: Known) -> int:
+def last_mark(known: Peer) -> int:
     """Return the mark last heard from a sidecar."""
     return known.load.mark if known.load else 0
 
 
-def not_run(refusal: Refusal) -> NotRun:
+def not_run_outcome(refusal: Refusal) -> NotRun:
     """Return a refusal as the caller's outcome."""
     wait = datetime.timedelta(seconds=refusal.retry_after)
     return NotRun(refusal.reason, wait)
--- a/gypsumshift/ejection.py
+++ b/gypsumshift/ejection.py
@@ -4,15 +4,15 @@
 
 import attrs
 
-__all__ = ["Ejection"]
+__all__ = ["EjectionPolicy"]
 
 # The pause is spread by this much either way, so that many processes do not return
 # to a server in the same moment.
-SPREAD = 0.2
+PAUSE_JITTER = 0.2
 
 
 @attrs.frozen
-class Ejection:
+class EjectionPolicy:
     """Bounds of ejections.
 
     Attributes
@@ -25,15 +25,15 @@
         Part of the servers that may be out at once; one always may.
     """
 
-    first: float
-    most: float
-    share: float
+    first_pause_s: float
+    max_pause_s: float
+    max_share: float
 
-    def allowed(self, out: int, total: int) -> bool:
+    def may_eject(self, out: int, total: int) -> bool:
         """Tell whether one more may go out, of which so many are out already."""
-        return out + 1 <= max(1, self.share * total)
+        return out + 1 <= max(1, self.max_share * total)
 
-    def pause(self, ejections: int, chance: random.Random) -> float:
+    def pause_seconds(self, ejections: int, chance: random.Random) -> float:
         """Return the seconds to avoid a server after so many ejections in a row."""
-        pause = min(self.first * 2**ejections, self.most)
-        return pause * chance.uniform(1 - SPREAD, 1 + SPREAD)
+        pause = min(self.first_pause_s * 2**ejections, self.max_pause_s)
+        return pause * chance.uniform(1 - PAUSE_JITTER, 1 + PAUSE_JITTER)
--- a/gypsumshift/entry.py
+++ b/gypsumshift/entry.py
@@ -2,11 +2,11 @@
 
 from gypsumshift import logs
 from gypsumshift.bearer import has_workspace_key, unauthorized
-from gypsumshift.callers import Callers
+from gypsumshift.callerapi import CallerApi
 from gypsumshift.dispatch import Dispatcher
 from gypsumshift.generated.messages import Role
 from gypsumshift.httpserver import HttpServer, Request, Response, problem_response
-from gypsumshift.members import rank
+from gypsumshift.membership import rendezvous_weight
 from gypsumshift.operators import Operators
 from gypsumshift.process import Process
 from gypsumshift.trainerapi import TrainerApi
@@ -15,8 +15,8 @@
 __all__ = ["Entry"]
 
 SIDECARS_PER_POOL = 16
-ENTRIES_GREETED = 2
-BALANCER_PAUSE = 1.0
+HEARTBEAT_ENTRIES = 2
+BALANCER_PAUSE_S = 1.0
 
 log = logs.logger("entry")
 
@@ -29,42 +29,42 @@
     """
 
     role = Role.ENTRY
-    passes_on_news = True
+    forwards_changes = True
 
     def __init__(self, settings, platform=None, clock=None):
         super().__init__(settings, platform, clock)
         self.dispatcher = Dispatcher(self)
-        self.callers = Callers(self, self.dispatcher)
+        self.caller_api = CallerApi(self, self.dispatcher)
         self.driver_manager = DriverManager(self, self.dispatcher)
         self.trainer_api = TrainerApi(self, self.driver_manager)
-        self.operator_face = Operators(self)
-        self.front = HttpServer(self.serve_caller)
-        self.front_address = ("", 0)
+        self.operator_api = Operators(self)
+        self.caller_server = HttpServer(self.serve_caller)
+        self.caller_address = ("", 0)
 
     async def start(self) -> None:
         """Listen and run the tasks."""
         await super().start()
         settings = self.settings
-        port = await self.front.listen(settings.host, settings.caller_port)
-        self.front_address = (settings.host, port)
+        port = await self.caller_server.listen(settings.host, settings.caller_port)
+        self.caller_address = (settings.host, port)
         self.spawn(self.dispatcher.run())
 
     async def stop(self) -> None:
         """Stop at once."""
-        await self.front.stop(0)
+        await self.caller_server.stop(0)
         await super().stop()
 
     async def drain(self, deadline: float) -> None:
         """Leave: the balancer first, then finish all requests, then stop."""
-        if self.own.leaving:
+        if self.member.leaving:
             return
-        self.own.leaving = True
-        self.recorder.note("leaving", self.own.name)
+        self.member.leaving = True
+        self.recorder.note("leaving", self.member.name)
         log.info("Leaves; finishes what runs.")
         self.heartbeats.wake.set()
         await self.driver_manager.release_leases()
-        await self.clock.sleep(BALANCER_PAUSE)
-        await self.front.stop(deadline)
+        await self.clock.sleep(BALANCER_PAUSE_S)
+        await self.caller_server.stop(deadline)
         self.stopped.set()
 
     def revision_changed(self) -> None:
@@ -73,31 +73,31 @@
 
     # Whom it knows
 
-    def polls(self):
+    def is_poller(self):
         """Tell whether this entry is one of its zone's pollers."""
-        return self.chosen_poller(self.view.entries())
+        return self.ranks_as_poller(self.membership.entries())
 
-    def correspondents(self):
+    def heartbeat_addresses(self):
         """Return its subset of every pool's sidecars, and a few entries."""
         chosen = []
-        pools = {known.member.pool for known in self.view.known.values()}
+        pools = {known.member.pool for known in self.membership.peers.values()}
         for pool in pools - {""}:
-            chosen += self.subset(pool)
-        entries = self.view.entries()
+            chosen += self.sidecar_subset(pool)
+        entries = self.membership.entries()
         self.random.shuffle(entries)
-        chosen += entries[:ENTRIES_GREETED]
+        chosen += entries[:HEARTBEAT_ENTRIES]
         if not entries:
-            return super().correspondents() + [known.address for known in chosen]
+            return super().heartbeat_addresses() + [known.address for known in chosen]
         return [known.address for known in chosen]
 
-    def subset(self, pool: str):
+    def sidecar_subset(self, pool: str):
         """Return the sidecars of a pool that this entry works with."""
-        sidecars = self.view.sidecars(pool)
-        name, zone = self.own.name, self.own.zone
+        sidecars = self.membership.sidecars(pool)
+        name, zone = self.member.name, self.member.zone
         sidecars.sort(
             key=lambda known: (
                 known.member.zone != zone,
-                -rank(name, known.member.name),
+                -rendezvous_weight(name, known.member.name),
             )
         )
         return sidecars[:SIDECARS_PER_POOL]
@@ -107,7 +107,7 @@
     async def serve_caller(self, request: Request) -> Response:
         """Answer one request of a caller or trainer."""
         if request.path == "/health":
-            return self.health()
+            return self.health_response()
         if not self.active_revision.ready:
             detail = "this entry has no revision yet"
             return problem_response(503, "not run", detail, retry_after=1.0)
@@ -121,22 +121,22 @@
         if rest.startswith("trainers/"):
             rest = rest.removeprefix("trainers/")
             return await self.trainer_api.handle_request(request, workspace, rest)
-        return await self.callers.serve(request, workspace, slash + rest)
+        return await self.caller_api.handle_request(request, workspace, slash + rest)
 
     async def serve_operator(self, request):
         """Answer one request on the operators' port."""
-        response = await self.operator_face.serve(request)
+        response = await self.operator_api.serve(request)
         return response or await super().serve_operator(request)
 
-    def figures(self):
+    def read_gauges(self):
         """Return the figures that `status` and the scrape page show."""
-        figures = super().figures()
-        figures["waiting"] = sum(self.callers.waiting.values())
-        figures["caller_connections"] = len(self.front.connections)
+        figures = super().read_gauges()
+        figures["waiting"] = sum(self.caller_api.waiting_by_workspace.values())
+        figures["caller_connections"] = len(self.caller_server.connections)
         for pool, router in self.dispatcher.routers.items():
-            figures[f"ejected.{pool}"] = router.ejected()
+            figures[f"ejected.{pool}"] = router.count_ejected()
         for name, budget in self.dispatcher.budgets.items():
-            figures[f"retry_budget.{name}"] = round(budget.left, 2)
+            figures[f"retry_budget.{name}"] = round(budget.tokens, 2)
         for name, driver in self.driver_manager.drivers.items():
             figures[f"drives.{name}"] = int(driver.lease.held)
             figures[f"groups_running.{name}"] = len(driver.running)
--- a/gypsumshift/heartbeats.py
+++ b/gypsumshift/heartbeats.py
@@ -9,21 +9,21 @@
 from gypsumshift import logs
 from gypsumshift.generated import messages
 from gypsumshift.generated.messages import Body, Heartbeat, Member
-from gypsumshift.links import Link, LinkError
+from gypsumshift.peerconnection import PeerConnection, PeerConnectionError
 
-__all__ = ["Heartbeats"]
+__all__ = ["HeartbeatExchanger"]
 
-ANSWER_TIMEOUT = 1.0
-PULL_TIMEOUT = 2.0
-LEAST_GAP = 0.02
-NEWS_TOLD = 8
-OTHERS_TOLD = 1
-NEWS_TIME = 10.0
+ANSWER_TIMEOUT_S = 1.0
+PULL_TIMEOUT_S = 2.0
+MIN_GAP_S = 0.02
+MAX_CHANGED_PEERS = 8
+RANDOM_PEERS = 1
+CHANGE_WINDOW_S = 10.0
 
 log = logs.logger("heartbeat")
 
 
-class Heartbeats:
+class HeartbeatExchanger:
     """Exchanges heartbeats for one process.
 
     Parameters
@@ -34,65 +34,69 @@
     def __init__(self, process):
         self.process = process
         self.wake = asyncio.Event()
-        self.wide = False
-        self.under_way: set[tuple[str, int]] = set()
+        self.include_callers = False
+        self.pending_addresses: set[tuple[str, int]] = set()
 
     async def run(self) -> None:
         """Exchange heartbeats, at once after a change, else at a steady rate."""
         process = self.process
         while True:
             self.wake.clear()
-            addresses = set(process.correspondents())
-            if self.wide:
-                addresses |= {known.address for known in process.view.callers()}
-                self.wide = False
-            addresses -= self.under_way
-            addresses.discard((process.own.host, process.own.port))
+            addresses = set(process.heartbeat_addresses())
+            if self.include_callers:
+                addresses |= {
+                    known.address for known in process.membership.recent_callers()
+                }
+                self.include_callers = False
+            addresses -= self.pending_addresses
+            addresses.discard((process.member.host, process.member.port))
             for address in addresses:
-                process.spawn(self.greet(address))
-            await process.clock.sleep(LEAST_GAP)
+                process.spawn(self.exchange_heartbeat(address))
+            await process.clock.sleep(MIN_GAP_S)
             try:
                 async with asyncio.timeout(process.heartbeat_period):
                     await self.wake.wait()
             except TimeoutError:
                 pass
 
-    def spread(self) -> None:
+    def broadcast(self) -> None:
         """Tell what is new at once, also to those that only call here."""
-        self.wide = True
+        self.include_callers = True
         self.wake.set()
 
-    async def greet(self, address: tuple[str, int]) -> None:
+    async def exchange_heartbeat(self, address: tuple[str, int]) -> None:
         """Exchange one heartbeat; pull the revision where the peer's is newer."""
-        self.under_way.add(address)
-        link = self.process.link(address)
+        self.pending_addresses.add(address)
+        link = self.process.connection(address)
         try:
-            answer = await link.ask(Body(heartbeat=self.compose()), ANSWER_TIMEOUT)
+            answer = await link.call(
+                Body(heartbeat=self.make_heartbeat()), ANSWER_TIMEOUT_S
+            )
             if answer.heartbeat is None:
                 return
-            self.hear(answer.heartbeat)
+            self.apply_heartbeat(answer.heartbeat)
             if answer.heartbeat.revision > self.process.active_revision.number:
                 await self.pull_revision(link)
-        except LinkError as error:
+        except PeerConnectionError as error:
             log.debug("No heartbeat from {}:{}: {}.", *address, error)
         finally:
-            self.under_way.discard(address)
+            self.pending_addresses.discard(address)
 
-    async def pull_revision(self, link: Link) -> None:
+    async def pull_revision(self, link: PeerConnection) -> None:
         """Ask a peer for its revision and put it in force where it is newer."""
         question = messages.PullRevision(self.process.active_revision.number)
-        answer = await link.ask(Body(pull_revision=question), PULL_TIMEOUT)
+        answer = await link.call(Body(pull_revision=question), PULL_TIMEOUT_S)
         if answer.revision is not None:
-            self.process.adopt(answer.revision.number, answer.revision.text)
+            self.process.adopt_revision(answer.revision.number, answer.revision.text)
 
-    def compose(self, pool: str = "") -> Heartbeat:
+    def make_heartbeat(self, pool: str = "") -> Heartbeat:
         """Return a heartbeat; with the targets of one pool only where it is named."""
-        targets = self.process.targets
+        targets = self.process.target_versions
         return Heartbeat(
-            sender=self.process.own,
+            sender=self.process.member,
             revision=self.process.active_revision.number,
-            load=self.process.load(),
-            peers=self.peers_to_tell(pool),
+            load=self.process.load_report(),
+            peers=self.members_to_send(pool),
             targets=[
                 messages.Target(name, targets[name])
                 for name in ([pool] if pool else targets)
@@ -100,36 +104,36 @@
             ],
         )
 
-    def peers_to_tell(self, pool: str) -> list[Member]:
+    def members_to_send(self, pool: str) -> list[Member]:
         """Return what changed lately, mates of the peer's pool first, and one more.
 
         The one more, at random, mends what was missed; the rest of the time a
         heartbeat stays short.
         """
         process = self.process
-        since = process.clock.monotonic() - NEWS_TIME
-        everyone = list(process.view.known.values())
+        since = process.clock.monotonic() - CHANGE_WINDOW_S
+        everyone = list(process.membership.peers.values())
         news = [known for known in everyone if known.changed >= since]
         news.sort(key=lambda known: (known.member.pool != pool, -known.changed))
-        others = process.random.sample(everyone, min(OTHERS_TOLD, len(everyone)))
-        return [known.member for known in news[:NEWS_TOLD] + others]
+        others = process.random.sample(everyone, min(RANDOM_PEERS, len(everyone)))
+        return [known.member for known in news[:MAX_CHANGED_PEERS] + others]
 
-    def hear(self, heartbeat: Heartbeat) -> None:
+    def apply_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take a heartbeat that came from a peer."""
-        view = self.process.view
-        before = view.news
-        view.heard(heartbeat.sender, heartbeat.revision, heartbeat.load)
+        view = self.process.membership
+        before = view.change_count
+        view.apply_heartbeat(heartbeat.sender, heartbeat.revision, heartbeat.load)
         for member in heartbeat.peers:
-            view.merge(member)
+            view.merge_member(member)
         for target in heartbeat.targets:
-            self.process.set_target(target.pool, target.version)
-        if self.process.passes_on_news and view.news != before:
+            self.process.set_target_version(target.pool, target.version)
+        if self.process.forwards_changes and view.change_count != before:
             self.wake.set()
 
-    def answer(self, heartbeat: Heartbeat) -> Heartbeat:
+    def answer_heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
         """Return the answer to a heartbeat; ask at once where its news is newer."""
-        self.hear(heartbeat)
-        self.process.view.note_call(heartbeat.sender.name)
+        self.apply_heartbeat(heartbeat)
+        self.process.membership.record_call(heartbeat.sender.name)
         if heartbeat.revision > self.process.active_revision.number:
             self.wake.set()
-        return self.compose(heartbeat.sender.pool)
+        return self.make_heartbeat(heartbeat.sender.pool)
--- a/gypsumshift/idempotency.py
+++ b/gypsumshift/idempotency.py
@@ -12,12 +12,12 @@
 
 from gypsumshift import logs
 from gypsumshift.addresses import parse_address
-from gypsumshift.answers import Lost, Refusal, Whole
-from gypsumshift.attempts import new_attempt
+from gypsumshift.attemptresults import CompleteAnswer, LostAttempt, Refusal
+from gypsumshift.attempts import new_attempt_name
 from gypsumshift.clock import Clock
-from gypsumshift.dispatch import Dispatcher, Job, mark, not_run
+from gypsumshift.dispatch import Dispatcher, PoolRequest, last_mark, not_run_outcome
 from gypsumshift.generated.messages import AttemptState, Head, Header
-from gypsumshift.members import Known
+from gypsumshift.membership import Peer
 from gypsumshift.outcomes import (
     Committed,
     Conflict,
@@ -56,7 +56,7 @@
     whole : Whole
     """
 
-    whole: Whole
+    whole: CompleteAnswer
 
 
 @attrs.frozen
@@ -85,7 +85,7 @@
     time: str
 
 
-def request_digest(job: Job) -> str:
+def request_digest(job: PoolRequest) -> str:
     """Return a digest of what a request asks for."""
     parts = (job.method.encode(), job.target.encode(), job.body)
     return hashlib.sha256(b"\0".join(parts)).hexdigest()
@@ -112,7 +112,7 @@
         self.dispatcher = dispatcher
         self.clock = clock
 
-    async def run_once(self, key: str, job: Job):
+    async def run_once(self, key: str, job: PoolRequest):
         """Run a request, or tell what became of it.
 
         Returns
@@ -124,8 +124,8 @@
         row: Row | None = None
         refusal = Refusal(f"no backend server of {job.pool} is known here", 1.0)
         for _ in range(MAX_ATTEMPTS):
-            known = self.dispatcher.router(job.pool).choose(
-                job.avoid, kind=job.request_class
+            known = self.dispatcher.router(job.pool).choose_sidecar(
+                job.avoid, request_class=job.request_class
             )
             if known is None or job.deadline <= self.clock.monotonic():
                 break
@@ -144,32 +144,34 @@
             row, refusal = owner, result
         return await self.final_outcome(place, job, refusal)
 
-    def undecided_outcome(self, job: Job) -> NotRun | Unknown:
+    def undecided_outcome(self, job: PoolRequest) -> NotRun | Unknown:
         """Return the outcome where the platform cannot say who owns the key.
 
         Nothing was sent now, but only a caller that vouches for a fresh key makes
         that a true "not run".
         """
         if job.fresh_key:
-            return not_run(Refusal("the platform cannot be asked for the key", 1.0))
+            return not_run_outcome(
+                Refusal("the platform cannot be asked for the key", 1.0)
+            )
         return Unknown("the platform cannot be asked whether this key has run")
 
-    async def final_outcome(self, place: str, job: Job, refusal: Refusal):
+    async def final_outcome(self, place: str, job: PoolRequest, refusal: Refusal):
         """Return the outcome once nothing is left to try."""
         row = await self.tables.read(KEYS_TABLE, place)
         if isinstance(row, Unavailable):
             return self.undecided_outcome(job)
         if isinstance(row, Missing):
-            return not_run(refusal)
+            return not_run_outcome(refusal)
         result = await self.inspect_claim(row, job)
-        return not_run(refusal) if isinstance(result, Refusal) else result
+        return not_run_outcome(refusal) if isinstance(result, Refusal) else result
 
-    def new_claim(self, known: Known, digest: str) -> KeyClaim:
+    def new_claim(self, known: Peer, digest: str) -> KeyClaim:
         """Return a claim for a new attempt at a sidecar."""
         host, port = known.address
         return KeyClaim(
             digest=digest,
-            attempt=new_attempt(mark(known)),
+            attempt=new_attempt_name(last_mark(known)),
             backend=known.member.backend,
             address=f"{host}:{port}",
             incarnation=known.member.incarnation,
@@ -206,18 +208,18 @@
         return None
 
     async def run_claimed_attempt(
-        self, place: str, claim: KeyClaim, known: Known, job: Job
+        self, place: str, claim: KeyClaim, known: Peer, job: PoolRequest
     ):
         """Run a claimed attempt."""
         job.avoid.add(known.member.name)
-        result = await self.dispatcher.attempt(job, known, claim.attempt)
-        if isinstance(result, Lost):
-            result = await self.dispatcher.settle(job, known, result)
-        if isinstance(result, Whole):
+        result = await self.dispatcher.run_attempt(job, known, claim.attempt)
+        if isinstance(result, LostAttempt):
+            result = await self.dispatcher.resolve_lost_attempt(job, known, result)
+        if isinstance(result, CompleteAnswer):
             self.dispatcher.process.spawn(self.store_answer(place, claim, result))
         return result
 
-    async def inspect_claim(self, row: Row, job: Job):
+    async def inspect_claim(self, row: Row, job: PoolRequest):
         """Tell what became of the attempt that owns a key; bars it where it can.
 
         Returns
@@ -226,7 +228,7 @@
         """
         if row.value["state"] == DONE:
             return await self.replay_answer(row)
-        reply = await self.dispatcher.follow(
+        reply = await self.dispatcher.await_final_state(
             parse_address(row.value["address"]),
             row.value["incarnation"],
             row.value["attempt"],
@@ -235,7 +237,9 @@
         if reply.state == AttemptState.NEVER:
             return Refusal("the attempt before was barred", 0.2)
         if reply.state == AttemptState.DONE:
-            return ReplayedAnswer(Whole(reply.head, reply.body, row.value["backend"]))
+            return ReplayedAnswer(
+                CompleteAnswer(reply.head, reply.body, row.value["backend"])
+            )
         if reply.state == AttemptState.RUNNING:
             return Unknown("the request with this key still runs")
         return await self.reread_claim(row)
@@ -247,7 +251,9 @@
             return await self.replay_answer(found)
         return Unknown("the sidecar that ran the request with this key is gone")
 
-    async def store_answer(self, place: str, claim: KeyClaim, whole: Whole) -> None:
+    async def store_answer(
+        self, place: str, claim: KeyClaim, whole: CompleteAnswer
+    ) -> None:
         """Keep the answer of a key, trying again while the platform is down."""
         value = attrs.asdict(claim) | {"state": DONE, "status": whole.head.status}
         value["headers"] = [
@@ -261,7 +267,7 @@
         log.warning("Gave up keeping the answer of attempt {}.", claim.attempt)
 
     async def try_store_answer(
-        self, place: str, claim: KeyClaim, whole: Whole, value
+        self, place: str, claim: KeyClaim, whole: CompleteAnswer, value
     ) -> bool:
         """Keep an answer once; return whether there is nothing left to do."""
         if len(whole.body) <= MAX_INLINE_BODY_BYTES:
@@ -296,5 +302,5 @@
             for name, text in value["headers"]
         ]
         return ReplayedAnswer(
-            Whole(Head(value["status"], headers), body, value["backend"])
+            CompleteAnswer(Head(value["status"], headers), body, value["backend"])
         )
--- a/gypsumshift/members.py
+++ b/gypsumshift/membership.py
@@ -12,21 +12,21 @@
 from gypsumshift.generated.messages import Load, Member, Role
 from gypsumshift.platforms import Host
 
-__all__ = ["Known", "View", "rank"]
+__all__ = ["Peer", "Membership", "rendezvous_weight"]
 
-FORGET_AFTER = 30.0
-CALLED_LATELY = 15.0
+PEER_RETENTION_S = 30.0
+RECENT_CALL_S = 15.0
 NEVER = float("-inf")
 
 
-def rank(key: str, name: str) -> int:
+def rendezvous_weight(key: str, name: str) -> int:
     """Return the rendezvous weight of ``name`` for ``key``; the highest wins."""
     digest = hashlib.blake2b(f"{key}\0{name}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
 @attrs.define
-class Known:
+class Peer:
     """One other process.
 
     Attributes
@@ -64,7 +64,7 @@
         return self.member.host, self.member.port
 
 
-class View:
+class Membership:
     """The other processes known here, by name.
 
     ``news`` counts the changes that are worth telling others soon.
@@ -77,30 +77,30 @@
     """
 
     def __init__(self, own: Member, clock: Clock):
-        self.own = own
+        self.own_member = own
         self.clock = clock
-        self.known: dict[str, Known] = {}
-        self.by_pool: dict[str, dict[str, Known]] = {}
-        self.listed: dict[str, Host] = {}
-        self.fences: dict[str, int] = {}
-        self.news = 0
+        self.peers: dict[str, Peer] = {}
+        self.peers_by_pool: dict[str, dict[str, Peer]] = {}
+        self.listed_hosts: dict[str, Host] = {}
+        self.newest_fences: dict[str, int] = {}
+        self.change_count = 0
 
-    def merge(self, member: Member) -> Known | None:
+    def merge_member(self, member: Member) -> Peer | None:
         """Take what somebody says of a process; return what is known of it then."""
-        if member.name == self.own.name:
+        if member.name == self.own_member.name:
             return None
         if member.backend:
-            fence = max(self.fences.get(member.backend, 0), member.fence)
-            self.fences[member.backend] = fence
-        known = self.known.get(member.name)
+            fence = max(self.newest_fences.get(member.backend, 0), member.fence)
+            self.newest_fences[member.backend] = fence
+        known = self.peers.get(member.name)
         if known is None or known.member.incarnation < member.incarnation:
             if known is not None:
-                self.by_pool[known.member.pool].pop(member.name, None)
+                self.peers_by_pool[known.member.pool].pop(member.name, None)
             now = self.clock.monotonic()
-            known = Known(member, now, changed=now)
-            self.news += 1
-            self.known[member.name] = known
-            self.by_pool.setdefault(member.pool, {})[member.name] = known
+            known = Peer(member, now, changed=now)
+            self.change_count += 1
+            self.peers[member.name] = known
+            self.peers_by_pool.setdefault(member.pool, {})[member.name] = known
         elif known.member.incarnation > member.incarnation:
             return None
         else:
@@ -109,83 +109,83 @@
             version = max(known.member.version, member.version)
             if (leaving, version) != (known.member.leaving, known.member.version):
                 known.changed = self.clock.monotonic()
-                self.news += 1
+                self.change_count += 1
             known.member = member
             known.member.leaving = leaving
             known.member.fence = fence
             known.member.version = version
-        self.apply_host(known)
+        self.mark_if_leaving(known)
         return known
 
-    def heard(self, member: Member, revision: int, load: Load | None) -> None:
+    def apply_heartbeat(self, member: Member, revision: int, load: Load | None) -> None:
         """Take what a process says of itself, directly."""
-        known = self.merge(member)
+        known = self.merge_member(member)
         if known is None:
             return
         known.heard = self.clock.monotonic()
         known.revision = max(known.revision, revision)
         if load is not None:
-            self.report(known, load)
+            self.record_load(known, load)
 
-    def note_call(self, name: str) -> None:
+    def record_call(self, name: str) -> None:
         """Note that a process called here, so that news can go back to it."""
-        if name in self.known:
-            self.known[name].called = self.clock.monotonic()
+        if name in self.peers:
+            self.peers[name].called = self.clock.monotonic()
 
-    def callers(self) -> list[Known]:
+    def recent_callers(self) -> list[Peer]:
         """Return those that called here lately and did not leave."""
-        since = self.clock.monotonic() - CALLED_LATELY
+        since = self.clock.monotonic() - RECENT_CALL_S
         return [
             known
-            for known in self.known.values()
+            for known in self.peers.values()
             if known.called >= since and not known.member.leaving
         ]
 
-    def report(self, known: Known, load: Load) -> None:
+    def record_load(self, known: Peer, load: Load) -> None:
         """Take a load report."""
         known.load = load
         known.reported = self.clock.monotonic()
 
-    def take_hosts(self, hosts: list[Host]) -> None:
+    def apply_host_list(self, hosts: list[Host]) -> None:
         """Take the platform's list; it may be old, so it only adds and marks."""
-        self.listed = {host.name: host for host in hosts}
-        for known in self.known.values():
-            self.apply_host(known)
+        self.listed_hosts = {host.name: host for host in hosts}
+        for known in self.peers.values():
+            self.mark_if_leaving(known)
 
-    def apply_host(self, known: Known) -> None:
+    def mark_if_leaving(self, known: Peer) -> None:
         """Mark a process as leaving where the list says so of its very address."""
-        host = self.listed.get(known.member.name)
+        host = self.listed_hosts.get(known.member.name)
         address = f"{known.member.host}:{known.member.port}"
         if host and host.leaving and host.address == address:
             known.member.leaving = True
 
-    def forget(self) -> None:
+    def remove_stale_peers(self) -> None:
         """Drop processes that neither answer nor stand on the platform's list."""
-        horizon = self.clock.monotonic() - FORGET_AFTER
-        for name, known in list(self.known.items()):
+        horizon = self.clock.monotonic() - PEER_RETENTION_S
+        for name, known in list(self.peers.items()):
             quiet = max(known.heard, known.learnt) < horizon
-            if quiet and (name not in self.listed or known.member.leaving):
-                del self.known[name]
-                del self.by_pool[known.member.pool][name]
+            if quiet and (name not in self.listed_hosts or known.member.leaving):
+                del self.peers[name]
+                del self.peers_by_pool[known.member.pool][name]
 
-    def entries(self) -> list[Known]:
+    def entries(self) -> list[Peer]:
         """Return the entries that are not leaving."""
         return [
             known
-            for known in self.known.values()
+            for known in self.peers.values()
             if known.member.role == Role.ENTRY and not known.member.leaving
         ]
 
-    def sidecars(self, pool: str) -> list[Known]:
+    def sidecars(self, pool: str) -> list[Peer]:
         """Return the sidecars of a pool that may be given work."""
         return [
             known
-            for known in self.by_pool.get(pool, {}).values()
+            for known in self.peers_by_pool.get(pool, {}).values()
             if known.member.role == Role.SIDECAR
             and not known.member.leaving
-            and known.member.fence >= self.fences.get(known.member.backend, 0)
+            and known.member.fence >= self.newest_fences.get(known.member.backend, 0)
         ]
 
-    def deposed(self, backend: str, fence: int) -> bool:
+    def is_superseded(self, backend: str, fence: int) -> bool:
         """Tell whether a newer sidecar has taken over that backend server."""
-        return fence < self.fences.get(backend, 0)
+        return fence < self.newest_fences.get(backend, 0)
--- a/gypsumshift/operators.py
+++ b/gypsumshift/operators.py
@@ -13,7 +13,6 @@
 from gypsumshift.generated import messages
 from gypsumshift.generated.messages import Body, Role
 from gypsumshift.httpserver import Request, Response, json_response, problem_response
-from gypsumshift.links import LinkError
 from gypsumshift.outcomes import (
     Committed,
     Conflict,
@@ -22,6 +21,7 @@
     Unavailable,
     Unknown,
 )
+from gypsumshift.peerconnection import PeerConnectionError
 from gypsumshift.platforms import Write
 from gypsumshift.poller import LEAVING_PREFIX, WEIGHTS_PREFIX
 from gypsumshift.process import Process
@@ -208,7 +208,7 @@
             text = json.dumps(outcome.declarations)
             subject = f"revision-{outcome.number}"
             self.process.recorder.note("accepted", subject, outcome.author)
-            self.process.adopt(outcome.number, text)
+            self.process.adopt_revision(outcome.number, text)
             return json_response(200, {"number": outcome.number})
         if isinstance(outcome, Conflict):
             return await self.conflict(base, outcome)
@@ -236,12 +236,12 @@
         async def ask(known) -> Body | None:
             async with slots:
                 try:
-                    link = self.process.link(known.address)
-                    return await link.ask(question, ASK_TIMEOUT)
-                except LinkError:
+                    link = self.process.connection(known.address)
+                    return await link.call(question, ASK_TIMEOUT)
+                except PeerConnectionError:
                     return None
 
-        known = dict(self.process.view.known)
+        known = dict(self.process.membership.peers)
         answers = await asyncio.gather(*(ask(each) for each in known.values()))
         return dict(zip(known, answers, strict=True))
 
@@ -253,7 +253,7 @@
             if answer is not None and answer.status is not None:
                 rows.append(status_row(answer.status))
             else:
-                member = self.process.view.known[name].member
+                member = self.process.membership.peers[name].member
                 rows.append(silent_row(member))
         rows.sort(key=lambda row: (row["role"], row["name"]))
         return json_response(200, rows)
@@ -276,7 +276,7 @@
         name = request.parameter("name")
         chosen = [
             known
-            for known in self.process.view.known.values()
+            for known in self.process.membership.peers.values()
             if name and name in (known.member.name, known.member.backend)
         ]
         if not chosen:
@@ -294,9 +294,9 @@
         for known in chosen:
             known.member.leaving = True
             try:
-                await self.process.link(known.address).ask(order, ASK_TIMEOUT)
+                await self.process.connection(known.address).call(order, ASK_TIMEOUT)
                 told.append(known.member.name)
-            except LinkError:
+            except PeerConnectionError:
                 continue
         return json_response(200, {"told": told})
 
@@ -318,7 +318,7 @@
             pool = row.key.removeprefix(WEIGHTS_PREFIX)
             loads = {
                 known.member.backend: known.load.version if known.load else None
-                for known in self.process.view.sidecars(pool)
+                for known in self.process.membership.sidecars(pool)
             }
             pools[pool] = row.value | {"backends": loads}
         return json_response(200, pools)
--- a/gypsumshift/links.py
+++ b/gypsumshift/peerconnection.py
@@ -9,16 +9,22 @@
 from gypsumshift.generated.messages import Body
 from gypsumshift.listeners import close_listener
 
-__all__ = ["Exchanges", "Link", "LinkError", "PeerServer", "Session"]
-
-CONNECT_TIMEOUT = 1.0
-HELLO_TIMEOUT = 5.0
-INBOX_LIMIT = 4096
+__all__ = [
+    "PendingCall",
+    "PeerConnection",
+    "PeerConnectionError",
+    "PeerServer",
+    "PeerSession",
+]
+
+CONNECT_TIMEOUT_S = 1.0
+FIRST_FRAME_TIMEOUT_S = 5.0
+MAX_INBOX_MESSAGES = 4096
 
 log = logs.logger("peer")
 
 
-class LinkError(Exception):
+class PeerConnectionError(Exception):
     """The link failed.
 
     Parameters
@@ -33,27 +39,27 @@
         self.sent = sent
 
 
-class Exchanges:
+class PendingCall:
     """One question on a link, and the bodies that answer it."""
 
-    def __init__(self, link: "Link", number: int):
-        self.link = link
+    def __init__(self, link: "PeerConnection", number: int):
+        self.connection = link
         self.number = number
-        self.inbox: asyncio.Queue[Body | None] = asyncio.Queue(INBOX_LIMIT)
+        self.inbox: asyncio.Queue[Body | None] = asyncio.Queue(MAX_INBOX_MESSAGES)
 
     async def receive(self) -> Body:
         """Return the next answer."""
         body = await self.inbox.get()
         if body is None:
-            raise LinkError("the link ended", True)
+            raise PeerConnectionError("the link ended", True)
         return body
 
     def close(self) -> None:
         """Drop whatever answers still come."""
-        self.link.waiting.pop(self.number, None)
+        self.connection.pending_calls.pop(self.number, None)
 
 
-class Link:
+class PeerConnection:
     """Connection to one peer; a task of its own reads it.
 
     Parameters
@@ -67,16 +73,16 @@
         self.address = address
         self.recorder = recorder
         self.stream: FrameStream | None = None
-        self.reading: asyncio.Task | None = None
-        self.waiting: dict[int, Exchanges] = {}
-        self.numbers = itertools.count(1)
-        self.connecting = asyncio.Lock()
+        self.read_task: asyncio.Task | None = None
+        self.pending_calls: dict[int, PendingCall] = {}
+        self.call_numbers = itertools.count(1)
+        self.connect_lock = asyncio.Lock()
 
-    async def connected(self) -> FrameStream:
+    async def connected_stream(self) -> FrameStream:
         """Return the stream, connecting where there is none."""
         if self.stream is not None:
             return self.stream
-        async with self.connecting:
+        async with self.connect_lock:
             if self.stream is None:
                 await self.connect()
             return self.stream
@@ -84,20 +90,22 @@
     async def connect(self) -> None:
         """Open the connection and start to read it."""
         try:
-            async with asyncio.timeout(CONNECT_TIMEOUT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*self.address)
         except (OSError, TimeoutError) as error:
             host, port = self.address
-            raise LinkError(f"no link to {host}:{port}: {error}", False) from error
+            raise PeerConnectionError(
+                f"no link to {host}:{port}: {error}", False
+            ) from error
         self.stream = FrameStream(reader, writer, self.recorder)
-        self.reading = asyncio.create_task(self.read(self.stream))
+        self.read_task = asyncio.create_task(self.read_answers(self.stream))
 
-    async def read(self, stream: FrameStream) -> None:
+    async def read_answers(self, stream: FrameStream) -> None:
         """Hand each answer to its exchange; drop those that nobody awaits."""
         try:
             while True:
                 number, body = await stream.receive()
-                exchange = self.waiting.get(number)
+                exchange = self.pending_calls.get(number)
                 if exchange is None:
                     continue
                 if exchange.inbox.full():
@@ -107,58 +115,58 @@
         except FrameError:
             pass
         finally:
-            self.lose(stream)
+            self.drop_stream(stream)
 
-    def lose(self, stream: FrameStream) -> None:
+    def drop_stream(self, stream: FrameStream) -> None:
         """Drop the connection and tell those who wait on it."""
         stream.abort()
         if self.stream is not stream:
             return
         self.stream = None
-        waiting, self.waiting = self.waiting, {}
+        waiting, self.pending_calls = self.pending_calls, {}
         for exchange in waiting.values():
             if exchange.inbox.full():
                 exchange.inbox.get_nowait()
             exchange.inbox.put_nowait(None)
 
-    async def open(self, body: Body) -> Exchanges:
+    async def start_call(self, body: Body) -> PendingCall:
         """Send a question; the answers come to the exchange returned."""
-        stream = await self.connected()
-        exchange = Exchanges(self, next(self.numbers))
-        self.waiting[exchange.number] = exchange
+        stream = await self.connected_stream()
+        exchange = PendingCall(self, next(self.call_numbers))
+        self.pending_calls[exchange.number] = exchange
         try:
             await stream.send(exchange.number, body)
         except FrameError as error:
             exchange.close()
-            raise LinkError(str(error), True) from error
+            raise PeerConnectionError(str(error), True) from error
         return exchange
 
-    async def ask(self, body: Body, timeout: float) -> Body:
+    async def call(self, body: Body, timeout: float) -> Body:
         """Send a question and return its one answer, within ``timeout`` seconds."""
         try:
             async with asyncio.timeout(timeout):
-                exchange = await self.open(body)
+                exchange = await self.start_call(body)
                 try:
                     return await exchange.receive()
                 finally:
                     exchange.close()
         except TimeoutError as error:
-            raise LinkError("no answer in time", True) from error
+            raise PeerConnectionError("no answer in time", True) from error
 
-    def tell(self, body: Body) -> None:
+    def send_oneway(self, body: Body) -> None:
         """Send something that has no answer, where the link is up."""
         if self.stream is not None:
-            self.stream.post(next(self.numbers), body)
+            self.stream.write(next(self.call_numbers), body)
 
     def close(self) -> None:
         """Cut the link."""
-        if self.reading:
-            self.reading.cancel()
+        if self.read_task:
+            self.read_task.cancel()
         if self.stream:
-            self.lose(self.stream)
+            self.drop_stream(self.stream)
 
 
-class Session:
+class PeerSession:
     """One accepted connection, as the serving side sees it.
 
     Parameters
@@ -197,9 +205,9 @@
 
     def __init__(self, handler, ended, recorder: Recorder):
         self.handler = handler
-        self.ended = ended
+        self.on_session_end = ended
         self.recorder = recorder
-        self.numbers = itertools.count(1)
+        self.session_numbers = itertools.count(1)
         self.tasks: set[asyncio.Task] = set()
         self.listener: asyncio.Server | None = None
         self.closed = False
@@ -215,19 +223,19 @@
             # It was on its way when the listener closed; nobody would end it.
             writer.transport.abort()
             return
-        task = asyncio.create_task(self.serve(reader, writer))
+        task = asyncio.create_task(self.serve_connection(reader, writer))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         # A task that is cancelled before it began never gets to its own end.
         task.add_done_callback(lambda _: writer.transport.abort())
 
-    async def serve(self, reader, writer) -> None:
+    async def serve_connection(self, reader, writer) -> None:
         """Serve one connection until it ends."""
-        session = Session(
-            next(self.numbers), FrameStream(reader, writer, self.recorder)
+        session = PeerSession(
+            next(self.session_numbers), FrameStream(reader, writer, self.recorder)
         )
         try:
-            async with asyncio.timeout(HELLO_TIMEOUT):
+            async with asyncio.timeout(FIRST_FRAME_TIMEOUT_S):
                 first = await session.stream.receive()
             await self.handler(session, *first)
             while True:
@@ -237,15 +245,15 @@
         finally:
             session.open = False
             session.stream.abort()
-            self.ended(session)
+            self.on_session_end(session)
 
     async def close(self) -> None:
         """Stop listening and cut all connections."""
-        self.cut()
+        self.abort_connections()
         if self.listener:
             await close_listener(self.listener)
 
-    def cut(self) -> None:
+    def abort_connections(self) -> None:
         """Cut all connections, and each that comes from now on."""
         self.closed = True
         for task in list(self.tasks):
--- a/gypsumshift/poller.py
+++ b/gypsumshift/poller.py
@@ -49,7 +49,7 @@
         """
         if self.head_seen is not None:
             return number >= self.head_seen
-        known = self.process.view.known.values()
+        known = self.process.membership.peers.values()
         told = [each.revision for each in known if each.revision >= 0]
         return len(told) >= MIN_REVISION_REPORTS and number >= max(told)
 
@@ -60,7 +60,7 @@
         accepted = await self.process.revision_history.read_revision(number)
         if isinstance(accepted, (Missing, Unavailable)):
             return
-        self.process.adopt(number, json.dumps(accepted.declarations))
+        self.process.adopt_revision(number, json.dumps(accepted.declarations))
 
     async def run(self) -> None:
         """Announce this process; read heads and hosts where that is its task."""
@@ -70,16 +70,16 @@
         while True:
             if not announced:
                 announced = await self.announce()
-            if process.polls():
+            if process.is_poller():
                 await self.read_heads()
-            if process.reads_hosts() and process.clock.monotonic() >= hosts_due:
+            if process.polls_hosts() and process.clock.monotonic() >= hosts_due:
                 hosts_due = process.clock.monotonic() + HOSTS_PERIOD_S
                 await self.read_hosts()
             await process.clock.sleep(HEADS_PERIOD_S)
 
     async def announce(self) -> bool:
         """Put this process on the platform's list; return whether it worked."""
-        own = self.process.own
+        own = self.process.member
         host = Host(own.name, f"{own.host}:{own.port}", own.zone)
         return not isinstance(await self.hosts.announce(host), Unavailable)
 
@@ -93,11 +93,11 @@
                 await self.load_revision(row.value["number"])
             elif row.key.startswith(WEIGHTS_PREFIX):
                 pool = row.key.removeprefix(WEIGHTS_PREFIX)
-                self.process.set_target(pool, row.value["version"])
+                self.process.set_target_version(pool, row.value["version"])
 
     async def read_hosts(self) -> None:
         """Read the platform's list of hosts."""
         hosts = await self.hosts.list()
         if not isinstance(hosts, Unavailable):
-            self.process.view.take_hosts(hosts)
-        self.process.view.forget()
+            self.process.membership.apply_host_list(hosts)
+        self.process.membership.remove_stale_peers()
--- a/gypsumshift/process.py
+++ b/gypsumshift/process.py
@@ -15,7 +15,7 @@
 from gypsumshift.generated import messages
 from gypsumshift.generated.messages import Body, Member, Role
 from gypsumshift.generated.settings import Settings
-from gypsumshift.heartbeats import Heartbeats
+from gypsumshift.heartbeats import HeartbeatExchanger
 from gypsumshift.httpserver import (
     HttpServer,
     Request,
@@ -23,9 +23,9 @@
     json_response,
     problem_response,
 )
-from gypsumshift.links import Link, PeerServer, Session
-from gypsumshift.members import Known, View, rank
+from gypsumshift.membership import Membership, Peer, rendezvous_weight
 from gypsumshift.metrics import Metrics, scrape
+from gypsumshift.peerconnection import PeerConnection, PeerServer, PeerSession
 from gypsumshift.platforms import Platform
 from gypsumshift.poller import Poller
 from gypsumshift.revisions import ActiveRevision, RevisionHistory
@@ -50,7 +50,7 @@
 
     role = Role.ENTRY
     heartbeat_period = 4.0
-    passes_on_news = False
+    forwards_changes = False
 
     def __init__(
         self,
@@ -62,23 +62,25 @@
         self.clock = clock or SystemClock()
         self.platform = platform or platforms.connect(settings.platform)
         self.recorder = Recorder(settings.name, self.clock)
-        self.metrics = Metrics(settings.name, self.figures)
+        self.metrics = Metrics(settings.name, self.read_gauges)
         self.revision_history = RevisionHistory(self.platform.tables, self.clock)
         self.active_revision = ActiveRevision(self.recorder)
-        self.own = self.describe()
-        self.view = View(self.own, self.clock)
-        self.targets: dict[str, int] = {}
-        self.links: dict[tuple[str, int], Link] = {}
+        self.member = self.make_member()
+        self.membership = Membership(self.member, self.clock)
+        self.target_versions: dict[str, int] = {}
+        self.connections: dict[tuple[str, int], PeerConnection] = {}
         self.random = random.Random(settings.name)
-        self.heartbeats = Heartbeats(self)
+        self.heartbeats = HeartbeatExchanger(self)
         self.poller = Poller(self)
         self.stopped = asyncio.Event()
         self.tasks: set[asyncio.Task] = set()
-        self.peers = PeerServer(self.serve, self.session_ended, self.recorder)
-        self.operators = HttpServer(self.serve_operator)
+        self.peer_server = PeerServer(
+            self.serve_peer, self.session_ended, self.recorder
+        )
+        self.operator_server = HttpServer(self.serve_operator)
         self.operator_address = ("", 0)
 
-    def describe(self) -> Member:
+    def make_member(self) -> Member:
         """Return this process as its peers shall know it."""
         settings = self.settings
         started_us = int(self.clock.now().timestamp() * 1_000_000)
@@ -108,8 +110,10 @@
     async def start(self) -> None:
         """Listen and run the tasks."""
         settings = self.settings
-        self.own.port = await self.peers.listen(settings.host, settings.peer_port)
-        port = await self.operators.listen(settings.host, settings.operator_port)
+        self.member.port = await self.peer_server.listen(
+            settings.host, settings.peer_port
+        )
+        port = await self.operator_server.listen(settings.host, settings.operator_port)
         self.operator_address = (settings.host, port)
         self.spawn(self.poller.load_first_revision())
         self.spawn(self.heartbeats.run())
@@ -122,10 +126,10 @@
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        await self.peers.close()
-        for link in self.links.values():
+        await self.peer_server.close()
+        for link in self.connections.values():
             link.close()
-        await self.operators.stop(0)
+        await self.operator_server.stop(0)
         self.metrics.close()
         log.info("Stopped.")
 
@@ -133,10 +137,10 @@
         """Run a task until it ends or the process stops."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
-        task.add_done_callback(self.finished)
+        task.add_done_callback(self.on_task_done)
         return task
 
-    def finished(self, task: asyncio.Task) -> None:
+    def on_task_done(self, task: asyncio.Task) -> None:
         """Take a finished task off the list; an unforeseen error stops the process."""
         self.tasks.discard(task)
         if task.cancelled() or task.exception() is None:
@@ -145,67 +149,67 @@
         log.exception(exc_info=task.exception())
         self.stopped.set()
 
-    def link(self, address: tuple[str, int]) -> Link:
+    def connection(self, address: tuple[str, int]) -> PeerConnection:
         """Return the link to an address."""
-        if address not in self.links:
-            self.links[address] = Link(address, self.recorder)
-        return self.links[address]
+        if address not in self.connections:
+            self.connections[address] = PeerConnection(address, self.recorder)
+        return self.connections[address]
 
-    def drop_link(self, address: tuple[str, int]) -> None:
+    def close_connection(self, address: tuple[str, int]) -> None:
         """Cut the link to an address."""
-        link = self.links.pop(address, None)
+        link = self.connections.pop(address, None)
         if link:
             link.close()
 
     # Revisions and weights
 
-    def adopt(self, number: int, text: str) -> None:
+    def adopt_revision(self, number: int, text: str) -> None:
         """Put a revision in force and tell the neighbours at once."""
         if not self.active_revision.ready and not self.poller.may_start_with(number):
             return
         if self.active_revision.activate_if_newer(number, text):
             self.revision_changed()
-            self.heartbeats.spread()
+            self.heartbeats.broadcast()
 
     def revision_changed(self) -> None:
         """React to a new revision; roles extend it."""
 
-    def set_target(self, pool: str, version: int) -> None:
+    def set_target_version(self, pool: str, version: int) -> None:
         """Take the newest published weight version of a pool."""
-        if version > self.targets.get(pool, 0):
-            self.targets[pool] = version
+        if version > self.target_versions.get(pool, 0):
+            self.target_versions[pool] = version
             self.recorder.note("published", f"{pool}@{version}", "known here")
-            self.heartbeats.spread()
-            self.target_changed()
+            self.heartbeats.broadcast()
+            self.target_version_changed()
 
-    def target_changed(self) -> None:
+    def target_version_changed(self) -> None:
         """React to a newly published weight version; roles extend it."""
 
     # What roles decide
 
-    def polls(self) -> bool:
+    def is_poller(self) -> bool:
         """Tell whether this process is one of the few that poll the platform."""
         return False
 
-    def reads_hosts(self) -> bool:
+    def polls_hosts(self) -> bool:
         """Tell whether this process reads the platform's list of hosts."""
         return True
 
-    def correspondents(self) -> list[tuple[str, int]]:
+    def heartbeat_addresses(self) -> list[tuple[str, int]]:
         """Return the addresses to send heartbeats to now."""
         return [parse_address(seed) for seed in self.settings.seeds]
 
-    def load(self) -> messages.Load | None:
+    def load_report(self) -> messages.Load | None:
         """Return the load of the backend server beside this process, if any."""
         return None
 
     # Answers to peers
 
-    async def serve(self, session: Session, exchange: int, body: Body) -> None:
+    async def serve_peer(self, session: PeerSession, exchange: int, body: Body) -> None:
         """Answer one question of a peer."""
         answer = None
         if body.heartbeat is not None:
-            answer = Body(heartbeat=self.heartbeats.answer(body.heartbeat))
+            answer = Body(heartbeat=self.heartbeats.answer_heartbeat(body.heartbeat))
         elif body.pull_revision is not None:
             number = self.active_revision.number
             answer = Body(revision=messages.Revision(number, self.active_revision.text))
@@ -221,7 +225,7 @@
         if answer is not None:
             await session.reply(exchange, answer)
 
-    def session_ended(self, session: Session) -> None:
+    def session_ended(self, session: PeerSession) -> None:
         """React to the end of a peer's connection; roles extend it."""
 
     async def drain(self, deadline: float) -> None:
@@ -230,23 +234,23 @@
 
     # Answers to operators
 
-    def figures(self) -> dict[str, float]:
+    def read_gauges(self) -> dict[str, float]:
         """Return the figures that `status` and the scrape page show."""
         return {
             "revision": self.active_revision.number,
-            "known_processes": len(self.view.known),
-            "links": len(self.links),
+            "known_processes": len(self.membership.peers),
+            "links": len(self.connections),
             "peer_bytes_sent": self.recorder.bytes_sent,
             "peer_bytes_received": self.recorder.bytes_received,
         }
 
     def status(self) -> messages.Status:
         """Return the status of this process."""
-        figures = self.figures() | self.metrics.totals
+        figures = self.read_gauges() | self.metrics.totals
         return messages.Status(
-            member=self.own,
+            member=self.member,
             revision=self.active_revision.number,
-            load=self.load(),
+            load=self.load_report(),
             figures=[messages.Figure(name, value) for name, value in figures.items()],
         )
 
@@ -256,28 +260,28 @@
             content_type = ("content-type", "text/plain; version=0.0.4")
             return Response(200, [content_type], scrape())
         if request.path == "/health":
-            return self.health()
+            return self.health_response()
         return problem_response(404, "not run", f"there is nothing at {request.path}")
 
-    def health(self) -> Response:
+    def health_response(self) -> Response:
         """Answer the balancer: whether new requests are welcome here."""
-        if self.own.leaving or not self.active_revision.ready:
-            reason = "leaving" if self.own.leaving else "no revision yet"
+        if self.member.leaving or not self.active_revision.ready:
+            reason = "leaving" if self.member.leaving else "no revision yet"
             return problem_response(503, "not run", reason)
         return json_response(200, {"status": "ok"})
 
-    def chosen_poller(self, candidates: list[Known]) -> bool:
+    def ranks_as_poller(self, candidates: list[Peer]) -> bool:
         """Tell whether this process ranks among its zone's pollers."""
         names = [
             known.member.name
             for known in candidates
-            if known.member.zone == self.own.zone and self.alive(known)
+            if known.member.zone == self.member.zone and self.is_alive(known)
         ]
-        mine = rank("poller", self.own.name)
-        better = sum(1 for name in names if rank("poller", name) > mine)
+        mine = rendezvous_weight("poller", self.member.name)
+        better = sum(1 for name in names if rendezvous_weight("poller", name) > mine)
         return better < POLLERS_PER_ZONE
 
-    def alive(self, known: Known) -> bool:
+    def is_alive(self, known: Peer) -> bool:
         """Tell whether a process was heard of within a few heartbeats."""
         horizon = self.clock.monotonic() - 4 * self.heartbeat_period
         return known.heard >= horizon
--- a/gypsumshift/budgets.py
+++ b/gypsumshift/retrybudget.py
@@ -17,15 +17,15 @@
     def __init__(self, ratio: float, burst: int):
         self.ratio = ratio
         self.burst = burst
-        self.left = float(burst)
+        self.tokens = float(burst)
 
-    def earn(self) -> None:
+    def record_request(self) -> None:
         """Count a request."""
-        self.left = min(self.burst, self.left + self.ratio)
+        self.tokens = min(self.burst, self.tokens + self.ratio)
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Take one retry; return whether there was one left."""
-        if self.left < 1:
+        if self.tokens < 1:
             return False
-        self.left -= 1
+        self.tokens -= 1
         return True
--- a/gypsumshift/sampling.py
+++ b/gypsumshift/sampling.py
@@ -13,15 +13,15 @@
 import attrs
 
 from gypsumshift import logs
-from gypsumshift.answers import Streamed, Whole
+from gypsumshift.attemptresults import CompleteAnswer, StreamedAnswer
 from gypsumshift.dialects import DIALECTS, Dialect
-from gypsumshift.dispatch import Dispatcher, Job
+from gypsumshift.dispatch import Dispatcher, PoolRequest
 from gypsumshift.generated.declarations import Trainer
 from gypsumshift.generated.messages import RequestClass, Span
 from gypsumshift.groups import Group, Sample
 from gypsumshift.labels import Labeller
-from gypsumshift.links import LinkError
 from gypsumshift.outcomes import HeldBack, NotRun
+from gypsumshift.peerconnection import PeerConnectionError
 from gypsumshift.process import Process
 
 __all__ = ["Sampler"]
@@ -150,10 +150,10 @@
         """
         partial, avoid, rejections = PartialSample(), set(), 0
         while rejections < MAX_REJECTIONS:
-            job = self.make_job(group, partial, urgency, avoid)
+            job = self.make_request(group, partial, urgency, avoid)
             result = await self.dispatcher.send(job)
             avoid, wait = set(), MIN_RETRY_DELAY_S
-            if isinstance(result, Streamed):
+            if isinstance(result, StreamedAnswer):
                 partial = await self.read_stream(result, partial, avoid)
                 sample = self.make_sample(group, number, partial, result)
                 if sample is not None:
@@ -167,14 +167,14 @@
                 wait = min(
                     max(result.retry_after.total_seconds(), wait), MAX_RETRY_DELAY_S
                 )
-            elif isinstance(result, Whole) and 400 <= result.head.status < 500:
+            elif isinstance(result, CompleteAnswer) and 400 <= result.head.status < 500:
                 rejections += 1
             await self.clock.sleep(wait)
         return None
 
-    def make_job(
+    def make_request(
         self, group: Group, partial: PartialSample, urgency: int, avoid: set
-    ) -> Job:
+    ) -> PoolRequest:
         """Return the request for a sample, or for the rest of it."""
         resumed = partial.prompt_ids + partial.token_ids
         body = {
@@ -185,7 +185,7 @@
             "return_token_ids": True,
             "priority": urgency,
         }
-        return Job(
+        return PoolRequest(
             workspace=f"trainer:{self.name}",
             pool=self.trainer.pool,
             method="POST",
@@ -204,7 +204,7 @@
         )
 
     async def read_stream(
-        self, streamed: Streamed, partial: PartialSample, avoid: set
+        self, streamed: StreamedAnswer, partial: PartialSample, avoid: set
     ) -> PartialSample:
         """Read a stream; return what there is, to finish or to resume."""
         partial.streams += 1
@@ -217,7 +217,7 @@
                     reason = "stale"
                     break
                 self.check_speed(partial, before, began)
-        except (LinkError, UnreadableEvent) as error:
+        except (PeerConnectionError, UnreadableEvent) as error:
             reason = "broken"
             log.info("A sample of {} broke: {}.", self.name, error)
         except StreamTooSlow:
@@ -233,7 +233,7 @@
             return PartialSample()
         return partial
 
-    async def iter_events(self, streamed: Streamed):
+    async def iter_events(self, streamed: StreamedAnswer):
         """Yield the events of a stream; raises `TooSlow` where it stalls."""
         pool = self.process.active_revision.catalog.pools.get(self.trainer.pool)
         dialect = DIALECTS[pool.dialect if pool else "plain"]
@@ -255,7 +255,7 @@
 
     def may_migrate(self) -> bool:
         """Tell whether a stream that stalls may move to another backend server."""
-        others = len(self.process.view.sidecars(self.trainer.pool)) > 1
+        others = len(self.process.membership.sidecars(self.trainer.pool)) > 1
         return others and self.trainer.move_stragglers
 
     def is_stale(self, partial: PartialSample) -> bool:
@@ -280,7 +280,11 @@
             self.paces.append((self.clock.monotonic() - began) / tokens)
 
     def make_sample(
-        self, group: Group, number: int, partial: PartialSample, streamed: Streamed
+        self,
+        group: Group,
+        number: int,
+        partial: PartialSample,
+        streamed: StreamedAnswer,
     ) -> Sample | None:
         """Return a sample that is whole and labelled."""
         spans = partial.spans(streamed.spans)
@@ -318,7 +322,7 @@
             token_ids=choice.get("token_ids") or [],
             prompt_ids=choice.get("prompt_token_ids") or [],
             finish_reason=choice.get("finish_reason") or "",
-            version=dialect.piece(value).version,
+            version=dialect.read_event_tokens(value).version,
         )
     except (ValueError, TypeError, AttributeError, IndexError) as error:
         raise UnreadableEvent(f"an event cannot be read: {error}") from error
--- a/gypsumshift/serving/loadbalancer.py
+++ b/gypsumshift/serving/loadbalancer.py
@@ -13,7 +13,7 @@
 import attrs
 
 from gypsumshift.clock import Clock
-from gypsumshift.ejection import Ejection
+from gypsumshift.ejection import EjectionPolicy
 from gypsumshift.policy import DEFAULT_POLICY, Policy
 from gypsumshift.serving.directory import BackendServer, ServerStart
 from gypsumshift.serving.observations import Observation, Observations
@@ -42,7 +42,7 @@
 FAILED_SHARE_TO_EJECT = 0.35
 # The ejection time doubles from 1 s to 8 s, which is how long servers have been slow.
 # At least half of the servers stay in use, to carry the load.
-EJECTION = Ejection(first=1.0, most=8.0, share=0.5)
+EJECTION = EjectionPolicy(first_pause_s=1.0, max_pause_s=8.0, max_share=0.5)
 # Upper limit of the slowness factor, so that a slow server still gets a request from
 # time to time and is measured again.
 MAX_SLOWNESS_FACTOR = 8.0
@@ -301,9 +301,9 @@
         """Eject a server for a while, unless too many are avoided already."""
         now = self.clock.monotonic()
         avoided = sum(1 for server in servers if self.stats(server).avoided_until > now)
-        if not EJECTION.allowed(avoided, len(servers)):
+        if not EJECTION.may_eject(avoided, len(servers)):
             return False
-        stats.avoided_until = now + EJECTION.pause(
+        stats.avoided_until = now + EJECTION.pause_seconds(
             stats.consecutive_ejections, self.chance
         )
         stats.consecutive_ejections += 1
--- a/gypsumshift/sidecar.py
+++ b/gypsumshift/sidecar.py
@@ -8,7 +8,7 @@
 from gypsumshift.generated.declarations import Pool
 from gypsumshift.generated.messages import Body, Role
 from gypsumshift.httpclient import Fetcher
-from gypsumshift.members import rank
+from gypsumshift.membership import rendezvous_weight
 from gypsumshift.outcomes import Missing, Unavailable
 from gypsumshift.poller import LEAVING_PREFIX
 from gypsumshift.process import Process
@@ -17,10 +17,10 @@
 
 __all__ = ["Sidecar"]
 
-ENTRIES_GREETED = 3
-STATE_PERIOD = 1.0
-DRAIN_PERIOD = 0.05
-DEFAULT_DEADLINE = 30.0
+HEARTBEAT_ENTRIES = 3
+STATE_PERIOD_S = 1.0
+DRAIN_CHECK_PERIOD_S = 0.05
+DEFAULT_DRAIN_DEADLINE_S = 30.0
 
 log = logs.logger("sidecar")
 
@@ -44,7 +44,7 @@
             address, undeclared, self.fetcher, self.recorder, settings.backend
         )
         self.attempt_runner = AttemptRunner(self, self.backend, self.fetcher)
-        owner = f"{self.own.name}/{self.own.incarnation}"
+        owner = f"{self.member.name}/{self.member.incarnation}"
         tables = self.platform.tables
         self.fence = Fence(tables, settings.backend, owner, self.clock)
         self.weight_rollout = WeightRollout(
@@ -54,8 +54,8 @@
     async def start(self) -> None:
         """Listen and run the tasks."""
         await super().start()
-        self.spawn(self.hold_fence())
-        self.spawn(self.watch_backend())
+        self.spawn(self.acquire_fence())
+        self.spawn(self.poll_backend_state())
         self.spawn(self.weight_rollout.run())
 
     async def stop(self) -> None:
@@ -72,82 +72,84 @@
             self.backend.pool = pool
             self.attempt_runner.update_pool(pool)
 
-    def target_changed(self):
+    def target_version_changed(self):
         """Have the rollout look at the new version."""
         self.weight_rollout.wake.set()
 
-    def correspondents(self):
+    def heartbeat_addresses(self):
         """Return a few entries; the seeds where none is known."""
-        entries = self.view.entries()
+        entries = self.membership.entries()
         if not entries:
-            return super().correspondents()
-        entries.sort(key=lambda known: -rank(self.own.name, known.member.name))
-        return [known.address for known in entries[:ENTRIES_GREETED]]
+            return super().heartbeat_addresses()
+        entries.sort(
+            key=lambda known: -rendezvous_weight(self.member.name, known.member.name)
+        )
+        return [known.address for known in entries[:HEARTBEAT_ENTRIES]]
 
-    def reads_hosts(self):
+    def polls_hosts(self):
         """Read the platform's list only where nobody else tells of entries."""
-        return not self.view.entries()
+        return not self.membership.entries()
 
-    def load(self) -> messages.Load:
+    def load_report(self) -> messages.Load:
         """Return the load of the backend server."""
         load = self.attempt_runner.current_load()
-        self.own.version = load.version
+        self.member.version = load.version
         return load
 
-    def figures(self):
+    def read_gauges(self):
         """Return the figures that `status` and the scrape page show."""
-        load = self.load()
-        return super().figures() | {
+        load = self.load_report()
+        return super().read_gauges() | {
             "running": load.running,
             "queued": load.queued,
             "limit": load.limit,
             "wait_ms": load.wait_ms,
-            "refused": self.attempt_runner.admission.refused,
+            "refused": self.attempt_runner.admission.refused_count,
             "weight_version": load.version,
             "target_version": self.weight_rollout.target,
             "rollout_wave": self.weight_rollout.wave,
             "swapping": int(load.swapping),
             "failed_swaps": self.backend.failed_swaps,
-            "fence": self.own.fence,
+            "fence": self.member.fence,
             "healthy": int(load.healthy),
         }
 
     # Its backend server
 
-    async def hold_fence(self) -> None:
+    async def acquire_fence(self) -> None:
         """Take the fencing number, and learn whether operators drain this one."""
-        self.own.fence = await self.fence.take()
-        self.recorder.note("fence", self.settings.backend, str(self.own.fence))
+        self.member.fence = await self.fence.acquire()
+        self.recorder.note("fence", self.settings.backend, str(self.member.fence))
         key = LEAVING_PREFIX + self.settings.backend
         row = await self.platform.tables.read(HEADS_TABLE, key)
         if not isinstance(row, (Missing, Unavailable)):
-            self.leave("drained by operators")
+            self.start_leaving("drained by operators")
         self.heartbeats.wake.set()
 
-    async def watch_backend(self) -> None:
+    async def poll_backend_state(self) -> None:
         """Ask for the backend server's state, again and again."""
         while True:
-            await self.backend.ask()
-            await self.clock.sleep(STATE_PERIOD)
+            await self.backend.fetch_state()
+            await self.clock.sleep(STATE_PERIOD_S)
 
-    def leave(self, reason: str) -> None:
+    def start_leaving(self, reason: str) -> None:
         """Take no new work from now on."""
-        if not self.own.leaving:
-            self.own.leaving = True
+        if not self.member.leaving:
+            self.member.leaving = True
             self.recorder.note("leaving", self.settings.backend, reason)
             log.info("Takes no new work: {}.", reason)
             self.heartbeats.wake.set()
 
     async def drain(self, deadline: float) -> None:
         """Take no new work and finish what runs, within ``deadline`` seconds."""
-        self.leave("drain ordered")
-        end = self.clock.monotonic() + (deadline or DEFAULT_DEADLINE)
+        self.start_leaving("drain ordered")
+        end = self.clock.monotonic() + (deadline or DEFAULT_DRAIN_DEADLINE_S)
         while self.attempt_runner.running and self.clock.monotonic() < end:
-            await self.clock.sleep(DRAIN_PERIOD)
+            await self.clock.sleep(DRAIN_CHECK_PERIOD_S)
 
     # Requests
 
-    async def serve(self, session, exchange, body):
+    async def serve_peer(self, session, exchange, body):
         """Answer one question of a peer."""
         if body.start is not None:
             self.attempt_runner.accept_attempt(session, exchange, body.start)
@@ -158,7 +160,7 @@
                 exchange, Body(bar_reply=self.attempt_runner.bar_attempt(body.bar))
             )
         else:
-            await super().serve(session, exchange, body)
+            await super().serve_peer(session, exchange, body)
 
     def session_ended(self, session):
         """Give up what a lost entry can no longer receive."""
--- a/gypsumshift/trainerdriver.py
+++ b/gypsumshift/trainerdriver.py
@@ -66,7 +66,7 @@
         self.name = name
         self.clock = process.clock
         self.store = TrainerStore(process.platform, name)
-        owner = f"{process.own.name}/{process.own.incarnation}"
+        owner = f"{process.member.name}/{process.member.incarnation}"
         tables = process.platform.tables
         lease_name = f"trainer/{name}"
         self.lease = Lease(tables, lease_name, owner, self.clock, LEASE_DURATION_S)
@@ -86,7 +86,7 @@
         renewing = self.process.spawn(self.run_lease_loop())
         try:
             while self.declaration is not None:
-                if self.lease.held and not self.process.own.leaving:
+                if self.lease.held and not self.process.member.leaving:
                     await self.start_due_groups()
                 else:
                     self.stop_groups()
@@ -108,7 +108,7 @@
     async def run_lease_loop(self) -> None:
         """Renew the lease, or wait for it."""
         while True:
-            if not self.process.own.leaving:
+            if not self.process.member.leaving:
                 await self.lease.renew_or_acquire()
             await self.clock.sleep(LEASE_RENEWAL_PERIOD_S)
 
--- a/gypsumshift/weightpublisher.py
+++ b/gypsumshift/weightpublisher.py
@@ -40,7 +40,7 @@
         for _ in range(MAX_TRIES):
             outcome = await self.set_newest_version(pool, version, by)
             if isinstance(outcome, Committed):
-                self.process.set_target(pool, version)
+                self.process.set_target_version(pool, version)
                 return outcome
             if isinstance(outcome, Unavailable):
                 return outcome
--- a/gypsumshift/weightrollout.py
+++ b/gypsumshift/weightrollout.py
@@ -10,7 +10,7 @@
 from gypsumshift.attemptrunner import AttemptRunner
 from gypsumshift.backend import Backend, Fence
 from gypsumshift.generated.messages import RequestClass
-from gypsumshift.members import rank
+from gypsumshift.membership import rendezvous_weight
 from gypsumshift.process import Process
 
 __all__ = ["WeightRollout", "plan_waves"]
@@ -34,7 +34,7 @@
     floor : float
         Share of the pool that keeps serving.
     """
-    order = sorted(backends, key=lambda name: rank(str(version), name))
+    order = sorted(backends, key=lambda name: rendezvous_weight(str(version), name))
     size = max(1, int(len(order) * (1 - floor) + 1e-9))
     return [order[start : start + size] for start in range(0, len(order), size)]
 
@@ -69,24 +69,24 @@
     @property
     def target(self) -> int:
         """Newest published version known here."""
-        return self.process.targets.get(self.process.own.pool, 0)
+        return self.process.target_versions.get(self.process.member.pool, 0)
 
     async def run(self) -> None:
         """Load each newer version when this one's wave comes."""
         tries = 0
         while True:
             held = self.backend.state.version
-            if not self.process.own.fence or held is None or held >= self.target:
+            if not self.process.member.fence or held is None or held >= self.target:
                 tries = 0
                 await self.wait_for_new_version()
                 continue
             if tries == 0:
                 await self.wait_for_wave(self.target)
-            if await self.fence.deposed():
-                self.process.leave("a newer sidecar gives the orders")
+            if await self.fence.is_superseded():
+                self.process.start_leaving("a newer sidecar gives the orders")
                 return
             await self.wait_for_client_requests()
-            if await self.backend.load_weights(self.target, self.process.own.fence):
+            if await self.backend.load_weights(self.target, self.process.member.fence):
                 tries = 0
                 self.process.heartbeats.wake.set()
                 continue
@@ -112,14 +112,14 @@
         self.backend.swapping = True
         self.process.heartbeats.wake.set()
         deadline = self.clock.monotonic() + MAX_CLIENT_WAIT_S
-        running = self.attempt_runner.admission.running_of
+        running = self.attempt_runner.admission.running_by_class
         while running[RequestClass.CLIENT] and self.clock.monotonic() < deadline:
             await self.clock.sleep(CLIENT_CHECK_PERIOD_S)
 
     async def wait_for_wave(self, version: int) -> None:
         """Wait until the waves before this one's are through, or had their time."""
-        own = self.process.own
-        sidecars = self.process.view.sidecars(own.pool)
+        own = self.process.member
+        sidecars = self.process.membership.sidecars(own.pool)
         backends = {known.member.backend for known in sidecars} | {own.backend}
         pool = self.backend.pool
         order = plan_waves(backends, version, pool.serving_floor)
@@ -137,6 +137,6 @@
         """Tell whether all these backend servers are known to have a version."""
         held = {
             known.member.backend: known.member.version
-            for known in self.process.view.sidecars(self.process.own.pool)
+            for known in self.process.membership.sidecars(self.process.member.pool)
         }
         return all(held.get(name, 0) >= version for name in earlier)
--- a/history/mutants.py
+++ b/history/mutants.py
@@ -78,16 +78,16 @@
 
 def lost_is_not_run():
     """Call every request whose fate is unknown "not run"."""
-    from gypsumshift import callers
+    from gypsumshift import callerapi
 
-    inner = callers.problem_response
+    inner = callerapi.problem_response
 
     def problem(status, outcome, detail, **members):
         if outcome == "unknown":
             return inner(503, "not run", detail, retry_after=1.0)
         return inner(status, outcome, detail, **members)
 
-    callers.problem_response = problem
+    callerapi.problem_response = problem
 
 
 def forget_keys():
@@ -102,17 +102,17 @@
 
 def ignore_leaving():
     """Go on taking work while leaving."""
-    from gypsumshift import members, sidecar
+    from gypsumshift import membership, sidecar
 
-    sidecar.Sidecar.leave = lambda self, reason: None
-    inner = members.View.sidecars
+    sidecar.Sidecar.start_leaving = lambda self, reason: None
+    inner = membership.Membership.sidecars
 
     def sidecars(self, pool):
-        for known in self.known.values():
+        for known in self.peers.values():
             known.member.leaving = False
         return inner(self, pool)
 
-    members.View.sidecars = sidecars
+    membership.Membership.sidecars = sidecars
 
 
 def stop_at_once():
@@ -129,7 +129,7 @@
     """Learn new revisions only long after they were told."""
     from gypsumshift import heartbeats, poller
 
-    pull, read = heartbeats.Heartbeats.pull_revision, poller.Poller.read_heads
+    pull, read = heartbeats.HeartbeatExchanger.pull_revision, poller.Poller.read_heads
 
     async def pull_revision(self, link):
         await asyncio.sleep(LATE)
@@ -139,7 +139,7 @@
         await asyncio.sleep(LATE)
         await read(self)
 
-    heartbeats.Heartbeats.pull_revision = pull_revision
+    heartbeats.HeartbeatExchanger.pull_revision = pull_revision
     poller.Poller.read_heads = read_heads
 
 
--- a/tests/system.py
+++ b/tests/system.py
@@ -131,7 +131,7 @@
         outcome = await self.entries[0].revision_history.apply(
             0, catalog.source, "test", "first", "first"
         )
-        self.entries[0].adopt(1, json.dumps(outcome.declarations))
+        self.entries[0].adopt_revision(1, json.dumps(outcome.declarations))
         for number in range(engines):
             engine = StandinEngine("model", checks_fencing=True, swap=0.01)
             engine.speed = Speed(0.002, 0, 0)
@@ -155,7 +155,7 @@
             await each.server.stop(0)
 
     def settings(self, name, role, **fields):
-        seeds = [f"{HOST}:{entry.own.port}" for entry in self.entries]
+        seeds = [f"{HOST}:{entry.member.port}" for entry in self.entries]
         return Settings(
             name=name, role=role, zone="here", platform="memory:", seeds=seeds, **fields
         )
@@ -195,11 +195,11 @@
         for sidecar in self.sidecars.values():
             if sidecar.stopped.is_set():
                 continue
-            if not sidecar.own.fence or sidecar.active_revision.number < newest:
+            if not sidecar.member.fence or sidecar.active_revision.number < newest:
                 return False
             for entry in self.entries:
-                known = entry.view.known.get(sidecar.own.name)
-                same = known and known.member.incarnation == sidecar.own.incarnation
+                known = entry.membership.peers.get(sidecar.member.name)
+                same = known and known.member.incarnation == sidecar.member.incarnation
                 if not same or not known.load or not known.load.healthy:
                     return False
         return True
@@ -214,13 +214,13 @@
 
     def client(self, workspace="w", entry=None):
         chosen = self.entries if entry is None else [self.entries[entry]]
-        urls = [f"http://{HOST}:{e.front_address[1]}/{workspace}" for e in chosen]
+        urls = [f"http://{HOST}:{e.caller_address[1]}/{workspace}" for e in chosen]
         return AsyncClient(urls, timeout=8.0)
 
     def trainer(self, entry=None):
         chosen = self.entries if entry is None else [self.entries[entry]]
         path = "/w/trainers/tr"
-        urls = [f"http://{HOST}:{e.front_address[1]}{path}" for e in chosen]
+        urls = [f"http://{HOST}:{e.caller_address[1]}{path}" for e in chosen]
         return AsyncTrainer(urls)
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,8 +7,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from gypsumshift.admission import FairAdmission, FifoAdmission, Ticket
+from gypsumshift.concurrencylimit import AdaptiveLimit, FixedLimit
 from gypsumshift.generated.messages import RequestClass
-from gypsumshift.limits import FixedLimit, LearntLimit
 
 from . import builders
 
@@ -44,7 +44,7 @@
     def offer(self, request_class, workspace, seconds, urgency):
         deadline = self.clock.monotonic() + seconds
         ticket = Ticket(workspace, request_class, deadline, urgency=urgency)
-        ticket.decide = lambda admitted: self.decide(ticket, admitted)
+        ticket.on_decision = lambda admitted: self.decide(ticket, admitted)
         self.waiting.append(ticket)
         if self.admission.offer(ticket):
             self.waiting.remove(ticket)
@@ -75,7 +75,7 @@
         assert all(count == 1 for count in self.decided.values())
         if self.kind is FairAdmission:
             waits = collections.Counter(t.request_class for t in self.waiting)
-            assert +admission.waiting_of == +waits
+            assert +admission.waiting_by_class == +waits
             assert not any(t.request_class == 1 for t in self.waiting) or (
                 admission.running == LIMIT
             )
@@ -96,7 +96,9 @@
     tickets = []
     for _ in range(count):
         ticket = Ticket(**({"workspace": "w", "deadline": 1e9} | fields))
-        ticket.decide = lambda admitted, t=ticket: order.append(t) if admitted else None
+        ticket.on_decision = lambda admitted, t=ticket: (
+            order.append(t) if admitted else None
+        )
         admission.offer(ticket)
         tickets.append(ticket)
     return tickets
@@ -153,7 +155,7 @@
     crowd(admission, order, 20, request_class=3)
     assert admission.running == 6 + 1
     admission.clock.advance(60)
-    admission.admit()
+    admission.admit_waiting()
     assert admission.running == 8
 
 
@@ -162,7 +164,7 @@
     crowd(admission, order, 4, request_class=3)
     refused = []
     for ticket in [t for t in admission.queues[3, "w"]]:
-        ticket[2].decide = lambda admitted: refused.append(admitted)
+        ticket[2].on_decision = lambda admitted: refused.append(admitted)
     crowd(admission, order, 1, request_class=1)
     assert refused == [False] and admission.waiting == 3
 
@@ -170,19 +172,19 @@
 def test_a_deadline_that_cannot_be_met_is_refused_early():
     admission, order = new_admission(), []
     crowd(admission, order, 3, request_class=1)
-    admission.duration = 10.0
+    admission.average_duration = 10.0
     ticket = Ticket("w", 1, admission.clock.monotonic() + 5)
     assert admission.offer(ticket) > 0
     assert admission.waiting == 2
 
 
 def test_a_learnt_limit_falls_with_delay_and_comes_back():
-    limit = LearntLimit(16)
+    limit = AdaptiveLimit(16)
     for _ in range(200):
-        limit.learn(0.1, 16, True)
+        limit.record_request(0.1, 16, True)
     for _ in range(1000):
-        limit.learn(0.4, 16, True)
+        limit.record_request(0.4, 16, True)
     low = limit.value
     for _ in range(2000):
-        limit.learn(0.1, limit.value, True)
+        limit.record_request(0.1, limit.value, True)
     assert low < 12 and limit.value == 16
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -60,18 +60,20 @@
     direction, dies, monkeypatch
 ):
     """The link is cut after each number of bytes up to 420, in either direction."""
-    monkeypatch.setattr("gypsumshift.dispatch.BAR_PAUSE", 0.001)
+    monkeypatch.setattr("gypsumshift.dispatch.BAR_RETRY_PAUSE_S", 0.001)
 
     async def work(sys):
         sidecar, entry = sys.sidecars["shop-0"], sys.entries[0]
-        relay = await Relay(sidecar.own.port).start()
-        sidecar.own.port = relay.port
-        await until(lambda: entry.view.known[sidecar.own.name].address[1] == relay.port)
+        relay = await Relay(sidecar.member.port).start()
+        sidecar.member.port = relay.port
+        await until(
+            lambda: entry.membership.peers[sidecar.member.name].address[1] == relay.port
+        )
         entry.heartbeat_period = sidecar.heartbeat_period = 3600.0
         seen = set()
         async with sys.client() as client:
             for count in range(420):
-                entry.drop_link((HOST, relay.port))
+                entry.close_connection((HOST, relay.port))
                 relay.dead, relay.dies = False, dies
                 setattr(relay, direction, count)
                 name = f"r{count}"
@@ -198,7 +200,7 @@
         async with sys.client() as client:
             call = asyncio.create_task(once(client, *BUY, id="k"))
             await until(lambda: sys.runs())
-            entry.drop_link((HOST, sidecar.own.port))
+            entry.close_connection((HOST, sidecar.member.port))
             assert isinstance(await call, Answered)
         assert sys.runs() == {"k": 1}
 
--- a/tests/test_fatal_dispatch.py
+++ b/tests/test_fatal_dispatch.py
@@ -51,7 +51,7 @@
     fetcher = Fetcher()
     try:
         target = "/w/services/shop/items/1"
-        return await fetcher.fetch(entry.front_address, "PUT", target, [], body, 10.0)
+        return await fetcher.fetch(entry.caller_address, "PUT", target, [], body, 10.0)
     finally:
         fetcher.close_idle()
 
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -7,12 +7,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from gypsumshift.answers import Lost, Refusal, Whole
+from gypsumshift.attemptresults import CompleteAnswer, LostAttempt, Refusal
 from gypsumshift.attempts import AttemptLog
-from gypsumshift.dispatch import Dispatcher, Job
+from gypsumshift.dispatch import Dispatcher, PoolRequest
 from gypsumshift.generated.messages import AttemptState, BarReply, Head
 from gypsumshift.idempotency import IdempotentRunner, KeyMismatch, ReplayedAnswer
-from gypsumshift.members import Known
+from gypsumshift.membership import Peer
 from gypsumshift.outcomes import NotRun, Unknown
 
 from . import builders
@@ -33,7 +33,7 @@
         """Start an attempt where that is allowed; return whether it ran."""
         if incarnation != self.incarnation or not self.log.may_start(attempt):
             return False
-        self.log.start(attempt)
+        self.log.record_start(attempt)
         self.runs[key] += 1
         return True
 
@@ -59,7 +59,7 @@
     def router(self, pool):
         return self
 
-    def choose(self, avoid, kind):
+    def choose_sidecar(self, avoid, request_class):
         for sidecar in self.sidecars:
             if sidecar.name not in avoid:
                 member = builders.member(
@@ -67,13 +67,13 @@
                 )
                 member.host = sidecar.name
                 load = builders.load(mark=sidecar.log.arrivals)
-                return Known(member, 0.0, load)
+                return Peer(member, 0.0, load)
         return None
 
     def find(self, name):
         return next(s for s in self.sidecars if s.name == name)
 
-    async def attempt(self, job, known, attempt):
+    async def run_attempt(self, job, known, attempt):
         await asyncio.sleep(0)
         sidecar = self.find(known.member.name)
         fate = self.fates.popleft() if self.fates else "answered"
@@ -81,23 +81,23 @@
         if fate == "refused":
             return Refusal("told to", 0.1)
         if fate == "never came":
-            return Lost("cut", attempt)
+            return LostAttempt("cut", attempt)
         if fate == "comes late":
             self.late.append((sidecar, attempt, known.member.incarnation, key))
-            return Lost("cut", attempt)
+            return LostAttempt("cut", attempt)
         if not sidecar.start(attempt, known.member.incarnation, key):
             return Refusal("barred", 0.1)
         if fate == "runs on":
-            return Lost("cut", attempt)
-        sidecar.log.finish(attempt, Head(200, []), key.encode())
+            return LostAttempt("cut", attempt)
+        sidecar.log.record_end(attempt, Head(200, []), key.encode())
         if fate == "answer lost":
-            return Lost("cut", attempt)
-        return Whole(Head(200, []), key.encode(), sidecar.name)
+            return LostAttempt("cut", attempt)
+        return CompleteAnswer(Head(200, []), key.encode(), sidecar.name)
 
-    settle = Dispatcher.settle
-    follow = Dispatcher.follow
+    resolve_lost_attempt = Dispatcher.resolve_lost_attempt
+    await_final_state = Dispatcher.await_final_state
 
-    async def ask_bar(self, address, incarnation, attempt):
+    async def request_bar(self, address, incarnation, attempt):
         await asyncio.sleep(0)
         sidecar = self.find(address[0])
         if self.cut or sidecar.incarnation != incarnation:
@@ -130,11 +130,11 @@
 
     def job(self, key):
         deadline = self.clock.monotonic() + 1
-        return Job("w", "p", "POST", key, deadline, repeatable=False)
+        return PoolRequest("w", "p", "POST", key, deadline, repeatable=False)
 
     def judge(self, key, result):
         """Check an outcome against what truly ran."""
-        if isinstance(result, (Whole, ReplayedAnswer)):
+        if isinstance(result, (CompleteAnswer, ReplayedAnswer)):
             whole = result.whole if isinstance(result, ReplayedAnswer) else result
             assert whole.body == key.encode() and self.runs[key] == 1
         elif isinstance(result, NotRun):
@@ -164,7 +164,7 @@
             )
 
         for result in self.loop.run_until_complete(both()):
-            if isinstance(result, (Whole, ReplayedAnswer)):
+            if isinstance(result, (CompleteAnswer, ReplayedAnswer)):
                 whole = result.whole if isinstance(result, ReplayedAnswer) else result
                 assert whole.body == key.encode()
 
@@ -179,7 +179,7 @@
         for sidecar in self.sidecars:
             for attempt, record in sidecar.log.records.items():
                 if record.state == AttemptState.RUNNING:
-                    sidecar.log.finish(attempt, None, b"")
+                    sidecar.log.record_end(attempt, None, b"")
 
     @rule(number=st.integers(0, 1))
     def restart_sidecar(self, number):
@@ -216,7 +216,7 @@
 def test_the_same_key_with_another_request_is_a_mismatch():
     async def work(machine):
         owner = machine.owners[0]
-        assert isinstance(await owner.run_once("k", machine.job("k1")), Whole)
+        assert isinstance(await owner.run_once("k", machine.job("k1")), CompleteAnswer)
         assert isinstance(await owner.run_once("k", machine.job("k2")), KeyMismatch)
         assert machine.runs == {"k1": 1}
 
@@ -249,10 +249,10 @@
 
 
 def test_a_forgotten_attempt_is_unknown_and_a_late_one_is_refused(monkeypatch):
-    monkeypatch.setattr("gypsumshift.attempts.RECORD_LIMIT", 2)
+    monkeypatch.setattr("gypsumshift.attempts.MAX_RECORDS", 2)
     log = AttemptLog()
     for name in ("0-a", "0-b", "0-c"):
-        log.start(name)
+        log.record_start(name)
     assert log.bar("0-a").state == AttemptState.UNKNOWN
     assert not log.may_start("0-late")
     assert log.may_start("1-fresh")
--- a/tests/test_key_commands.py
+++ b/tests/test_key_commands.py
@@ -97,7 +97,7 @@
             for token in ("", "Bearer wrong", "Bearer key-two", "Bearer key-one"):
                 fields = [("authorization", token)] if token else []
                 answer = await Fetcher().fetch(
-                    system.entries[0].front_address,
+                    system.entries[0].caller_address,
                     "GET",
                     "/w/services/shop/x",
                     fields,
@@ -105,10 +105,10 @@
                 statuses[token] = answer.status
             statuses["trainer"] = (
                 await Fetcher().fetch(
-                    system.entries[0].front_address, "GET", "/w/trainers/tr/steps/0"
+                    system.entries[0].caller_address, "GET", "/w/trainers/tr/steps/0"
                 )
             ).status
-            port = system.entries[0].front_address[1]
+            port = system.entries[0].caller_address[1]
             url = f"http://{HOST}:{port}/w"
             async with AsyncClient(url, workspace_key="key-one") as client:
                 outcome = await client.call("GET", "/services/shop/x")
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -101,10 +101,10 @@
 
     async def work():
         first = Fence(tables, "b", "one", clock)
-        assert await first.take() == 1
+        assert await first.acquire() == 1
         tables.lose_next = 1
         second = Fence(tables, "b", "two", clock)
-        assert await second.take() == 2
-        assert await first.deposed() and not await second.deposed()
+        assert await second.acquire() == 2
+        assert await first.is_superseded() and not await second.is_superseded()
 
     asyncio.run(work())
--- a/tests/test_links.py
+++ b/tests/test_listeners.py
@@ -6,7 +6,7 @@
 import pytest
 
 from gypsumshift.httpserver import HttpServer
-from gypsumshift.links import PeerServer
+from gypsumshift.peerconnection import PeerServer
 from tests.builders import recorder
 
 
--- a/tests/test_members.py
+++ b/tests/test_membership.py
@@ -6,7 +6,7 @@
 
 from gypsumshift.entry import Entry
 from gypsumshift.httpclient import Fetcher
-from gypsumshift.members import View
+from gypsumshift.membership import Membership
 from gypsumshift.outcomes import Answered, NotRun, Unknown
 from gypsumshift.platforms import Host
 
@@ -90,18 +90,18 @@
 def test_a_process_cut_off_comes_back_to_the_newest_and_never_reverts():
     async def work(sys):
         sidecar = sys.sidecars["shop-0"]
-        port, sidecar.own.port = sidecar.own.port, 9
-        sidecar.correspondents = lambda: []
+        port, sidecar.member.port = sidecar.member.port, 9
+        sidecar.heartbeat_addresses = lambda: []
         for entry in sys.entries:
-            entry.drop_link((HOST, port))
-            entry.view.known[sidecar.own.name].member.port = 9
-        sidecar.polls = lambda: False
+            entry.close_connection((HOST, port))
+            entry.membership.peers[sidecar.member.name].member.port = 9
+        sidecar.is_poller = lambda: False
         for number, timeout in ((1, 3.0), (2, 4.0)):
             assert await apply(sys, number, timeout) == 200
         await until(lambda: sys.entries[0].active_revision.number == 3)
         assert sidecar.active_revision.number == 1
-        del sidecar.correspondents
-        sidecar.own.port = port
+        del sidecar.heartbeat_addresses
+        sidecar.member.port = port
         seen = []
         activate = sidecar.active_revision.activate_if_newer
         sidecar.active_revision.activate_if_newer = lambda n, text: (
@@ -120,10 +120,10 @@
         settings = sys.settings("entry-new", "entry")
         settings.seeds = []
         async with Entry(settings, sys.platform) as alone:
-            health = await Fetcher().fetch(alone.front_address, "GET", "/health")
+            health = await Fetcher().fetch(alone.caller_address, "GET", "/health")
             assert health.status == 503
             answer = await Fetcher().fetch(
-                alone.front_address, "GET", "/w/services/shop/x"
+                alone.caller_address, "GET", "/w/services/shop/x"
             )
             assert answer.status == 503
             assert json.loads(answer.body)["outcome"] == "not run"
@@ -136,7 +136,7 @@
 
 def test_a_late_host_list_does_not_matter_where_the_sidecar_refuses():
     async def work(sys):
-        sys.sidecars["shop-0"].leave("told to")
+        sys.sidecars["shop-0"].start_leaving("told to")
         async with sys.client() as client:
             for _ in range(10):
                 result = await client.once("GET", "/services/shop/x", [], b"", 5.0)
@@ -161,21 +161,23 @@
 
 def test_the_host_list_marks_only_the_very_address():
     clock = builders.ManualClock()
-    view = View(builders.member("me"), clock)
-    view.merge(builders.member("sidecar-a", port=5))
-    view.take_hosts([Host("sidecar-a", f"{HOST}:4", "here", leaving=True)])
+    view = Membership(builders.member("me"), clock)
+    view.merge_member(builders.member("sidecar-a", port=5))
+    view.apply_host_list([Host("sidecar-a", f"{HOST}:4", "here", leaving=True)])
     assert len(view.sidecars("pool")) == 1
-    view.take_hosts([Host("sidecar-a", f"{HOST}:5", "here", leaving=True)])
+    view.apply_host_list([Host("sidecar-a", f"{HOST}:5", "here", leaving=True)])
     assert not view.sidecars("pool")
-    view.merge(builders.member("sidecar-a", port=6, incarnation=2))
+    view.merge_member(builders.member("sidecar-a", port=6, incarnation=2))
     assert len(view.sidecars("pool")) == 1
 
 
 def test_old_news_of_a_replaced_process_is_dropped():
-    view = View(builders.member("me"), builders.ManualClock())
-    view.merge(builders.member("sidecar-a", incarnation=2, port=6))
-    assert view.merge(builders.member("sidecar-a", incarnation=1, port=5)) is None
-    assert view.known["sidecar-a"].member.port == 6
+    view = Membership(builders.member("me"), builders.ManualClock())
+    view.merge_member(builders.member("sidecar-a", incarnation=2, port=6))
+    assert (
+        view.merge_member(builders.member("sidecar-a", incarnation=1, port=5)) is None
+    )
+    assert view.peers["sidecar-a"].member.port == 6
 
 
 def test_an_entry_that_leaves_finishes_its_streams_first():
@@ -187,9 +189,9 @@
             call = asyncio.create_task(client.call("POST", "/v1/completions", body))
             await until(lambda: engine.running)
             leaving = asyncio.create_task(entry.drain(20))
-            await until(lambda: entry.own.leaving)
+            await until(lambda: entry.member.leaving)
             await entry.drain(20)
-            health = await Fetcher().fetch(entry.front_address, "GET", "/health")
+            health = await Fetcher().fetch(entry.caller_address, "GET", "/health")
             assert health.status == 503
             answer = await call
             assert answer.body.count(b"data: {") == 150
@@ -223,7 +225,7 @@
             async with sys.client() as client:
                 while not done.is_set():
                     client.addresses = [
-                        e.front_address for e in sys.entries if not e.own.leaving
+                        e.caller_address for e in sys.entries if not e.member.leaving
                     ]
                     path = f"/services/shop/{number}"
                     outcomes.append(await client.call("GET", path))
@@ -249,38 +251,38 @@
 
 def test_a_system_forgets_a_process_that_is_gone_for_good():
     clock = builders.ManualClock()
-    view = View(builders.member("me"), clock)
-    view.heard(builders.member("sidecar-a"), 1, builders.load())
+    view = Membership(builders.member("me"), clock)
+    view.apply_heartbeat(builders.member("sidecar-a"), 1, builders.load())
     clock.advance(31)
-    view.forget()
-    assert not view.known
+    view.remove_stale_peers()
+    assert not view.peers
 
 
 def test_a_process_that_comes_back_in_another_pool_is_in_that_one_only():
-    view = View(builders.member("me"), builders.ManualClock())
-    view.merge(builders.member("sidecar-a", pool="one"))
-    view.merge(builders.member("sidecar-a", pool="two", incarnation=2))
+    view = Membership(builders.member("me"), builders.ManualClock())
+    view.merge_member(builders.member("sidecar-a", pool="one"))
+    view.merge_member(builders.member("sidecar-a", pool="two", incarnation=2))
     assert not view.sidecars("one") and len(view.sidecars("two")) == 1
 
 
 def test_news_goes_back_to_those_that_only_call():
     clock = builders.ManualClock()
-    view = View(builders.member("me"), clock)
-    view.merge(builders.member("sidecar-a"))
-    view.merge(builders.member("sidecar-b"))
-    view.note_call("sidecar-a")
-    assert [known.member.name for known in view.callers()] == ["sidecar-a"]
+    view = Membership(builders.member("me"), clock)
+    view.merge_member(builders.member("sidecar-a"))
+    view.merge_member(builders.member("sidecar-b"))
+    view.record_call("sidecar-a")
+    assert [known.member.name for known in view.recent_callers()] == ["sidecar-a"]
     clock.advance(60)
-    assert not view.callers()
+    assert not view.recent_callers()
 
 
 def test_a_sidecar_outside_every_subset_gets_a_revision_at_once():
     async def work(sys):
         entry = sys.entries[0]
-        entry.correspondents = lambda: []
+        entry.heartbeat_addresses = lambda: []
         for process in (entry, *sys.sidecars.values()):
             process.heartbeat_period = 3600.0
-        await until(lambda: len(entry.view.callers()) == 2)
+        await until(lambda: len(entry.membership.recent_callers()) == 2)
         assert await apply(sys, 1, 3.0) == 200
         await until(lambda: everywhere(sys, 2))
 
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -6,7 +6,7 @@
 import pytest
 
 from gypsumshift.entry import Entry
-from gypsumshift.frames import FRAME_LIMIT, LENGTH, encode
+from gypsumshift.frames import LENGTH_PREFIX, MAX_FRAME_BYTES, encode_frame
 from gypsumshift.generated.messages import Body, Frame, Heartbeat, Member, Start
 from gypsumshift.generated.settings import Settings
 from gypsumshift.httpclient import Fetcher
@@ -33,7 +33,7 @@
                 entry.active_revision.changed.wait()
             ) if not entry.active_revision.ready else None
             outcome = await entry.revision_history.apply(0, SOURCE, "a", "m", "token")
-            entry.adopt(1, json.dumps(outcome.declarations))
+            entry.adopt_revision(1, json.dumps(outcome.declarations))
             await work(entry)
 
     asyncio.run(run())
@@ -73,7 +73,7 @@
     data, status = HTTP_GARBAGE[case]
 
     async def work(entry):
-        for address in (entry.front_address, entry.operator_address):
+        for address in (entry.caller_address, entry.operator_address):
             answer = await send_raw(address, data)
             assert answer.startswith(f"HTTP/1.1 {status} ".encode())
             health = await Fetcher().fetch(address, "GET", "/health")
@@ -89,9 +89,9 @@
             b"content-length: %d\r\n\r\n" % (MAX_BODY_BYTES * 4)
         )
         data = head + b"x" * (MAX_BODY_BYTES + 100_000)
-        answer = await send_raw(entry.front_address, data)
+        answer = await send_raw(entry.caller_address, data)
         assert answer.startswith(b"HTTP/1.1 413 ") or answer == b""
-        health = await Fetcher().fetch(entry.front_address, "GET", "/health")
+        health = await Fetcher().fetch(entry.caller_address, "GET", "/health")
         assert health.status == 200
 
     run_with_entry(work)
@@ -103,7 +103,7 @@
             b"POST /w/trainers/tr/groups HTTP/1.1\r\nhost: a\r\n"
             b'content-length: 400\r\n\r\n[{"id": "a", '
         )
-        answer = await send_raw(entry.front_address, data, end=True)
+        answer = await send_raw(entry.caller_address, data, end=True)
         assert not answer.startswith(b"HTTP/1.1 2")
         rows = await entry.platform.tables.scan("groups", "")
         assert rows == []
@@ -115,8 +115,8 @@
     monkeypatch.setattr("gypsumshift.httpserver.IDLE_TIMEOUT_S", 0.05)
 
     async def work(entry):
-        assert await send_raw(entry.front_address, b"GET / HT") == b""
-        health = await Fetcher().fetch(entry.front_address, "GET", "/health")
+        assert await send_raw(entry.caller_address, b"GET / HT") == b""
+        health = await Fetcher().fetch(entry.caller_address, "GET", "/health")
         assert health.status == 200
 
     run_with_entry(work)
@@ -124,19 +124,19 @@
 
 PEER_GARBAGE = {
     "http": b"GET / HTTP/1.1\r\n\r\n",
-    "too long": LENGTH.pack(FRAME_LIMIT + 1) + b"x" * 100,
-    "not thrift": LENGTH.pack(8) + b"\xff" * 8,
-    "empty frame": LENGTH.pack(0),
-    "deep nesting": LENGTH.pack(4000) + b"\x1c" * 4000,
+    "too long": LENGTH_PREFIX.pack(MAX_FRAME_BYTES + 1) + b"x" * 100,
+    "not thrift": LENGTH_PREFIX.pack(8) + b"\xff" * 8,
+    "empty frame": LENGTH_PREFIX.pack(0),
+    "deep nesting": LENGTH_PREFIX.pack(4000) + b"\x1c" * 4000,
 }
 
 
 @pytest.mark.parametrize("case", PEER_GARBAGE)
 def test_the_peer_port_closes_on_what_is_no_frame(case):
     async def work(entry):
-        address = ("127.0.0.1", entry.own.port)
+        address = ("127.0.0.1", entry.member.port)
         assert await send_raw(address, PEER_GARBAGE[case], end=True) == b""
-        health = await Fetcher().fetch(entry.front_address, "GET", "/health")
+        health = await Fetcher().fetch(entry.caller_address, "GET", "/health")
         assert health.status == 200
 
     run_with_entry(work)
@@ -153,10 +153,13 @@
 @pytest.mark.parametrize("case", INCOMPLETE)
 def test_a_frame_that_lacks_parts_ends_its_link_and_nothing_else(case):
     async def work(entry):
-        data = encode(Frame(1, INCOMPLETE[case], 0, 0))
-        address = ("127.0.0.1", entry.own.port)
-        assert await send_raw(address, LENGTH.pack(len(data)) + data, end=True) == b""
-        assert not entry.stopped.is_set() and not entry.view.known
+        data = encode_frame(Frame(1, INCOMPLETE[case], 0, 0))
+        address = ("127.0.0.1", entry.member.port)
+        assert (
+            await send_raw(address, LENGTH_PREFIX.pack(len(data)) + data, end=True)
+            == b""
+        )
+        assert not entry.stopped.is_set() and not entry.membership.peers
 
     run_with_entry(work)
 
@@ -164,10 +167,10 @@
 def test_an_error_inside_a_handler_ends_that_request_only():
     async def work(entry):
         entry.trainer_api.show_state = None
-        answer = await Fetcher().fetch(entry.front_address, "GET", "/w/trainers/tr")
+        answer = await Fetcher().fetch(entry.caller_address, "GET", "/w/trainers/tr")
         assert answer.status == 500
         assert json.loads(answer.body)["outcome"] == "unknown"
-        health = await Fetcher().fetch(entry.front_address, "GET", "/health")
+        health = await Fetcher().fetch(entry.caller_address, "GET", "/health")
         assert health.status == 200
 
     run_with_entry(work)
@@ -193,7 +196,7 @@
     method, target, body, status = REQUESTS[case]
 
     async def work(entry):
-        address = entry.front_address
+        address = entry.caller_address
         answer = await Fetcher().fetch(address, method, target, [], body)
         assert answer.status == status
         assert json.loads(answer.body)["outcome"] == "not run"
@@ -260,11 +263,13 @@
 
 
 def test_a_connection_accepted_while_a_port_closes_is_cut(monkeypatch):
-    monkeypatch.setattr("gypsumshift.links.HELLO_TIMEOUT", 3600.0)
+    monkeypatch.setattr("gypsumshift.peerconnection.FIRST_FRAME_TIMEOUT_S", 3600.0)
 
     async def work(entry):
-        assert await closes_at_once(entry.peers, entry.peers.cut)
-        front = entry.front
+        assert await closes_at_once(
+            entry.peer_server, entry.peer_server.abort_connections
+        )
+        front = entry.caller_server
         stop = lambda: asyncio.ensure_future(front.stop(0))
         assert await closes_at_once(front, stop)
 
--- a/tests/test_samples.py
+++ b/tests/test_samples.py
@@ -65,7 +65,7 @@
             delivery = await trainer.step(1)
             check_truth(delivery)
             await until(lambda: sidecar.backend.state.version == 1)
-            assert engine.version == 1 and engine.fence == sidecar.own.fence
+            assert engine.version == 1 and engine.fence == sidecar.member.fence
 
     system.run(work, services=0)
 
@@ -112,12 +112,12 @@
         old = sys.sidecars["model-0"]
         port = old.backend.address[1]
         new = await sys.add_sidecar("model-0", "model", port)
-        await until(lambda: new.own.fence > old.own.fence > 0)
-        assert await new.backend.load_weights(2, new.own.fence)
-        assert not await old.backend.load_weights(1, old.own.fence)
+        await until(lambda: new.member.fence > old.member.fence > 0)
+        assert await new.backend.load_weights(2, new.member.fence)
+        assert not await old.backend.load_weights(1, old.member.fence)
         assert sys.engines[0].version == 2
-        old.set_target("model", 3)
-        await until(lambda: old.own.leaving)
+        old.set_target_version("model", 3)
+        await until(lambda: old.member.leaving)
 
     system.run(work, services=0)
 
@@ -127,9 +127,13 @@
         old = sys.sidecars["model-0"]
         new = await sys.add_sidecar("model-0", "model", old.backend.address[1])
         entry = sys.entries[0]
-        await until(lambda: entry.view.fences.get("model-0") == new.own.fence)
-        await until(lambda: entry.view.known[new.own.name].load)
-        assert [k.member.fence for k in entry.view.sidecars("model")] == [new.own.fence]
+        await until(
+            lambda: entry.membership.newest_fences.get("model-0") == new.member.fence
+        )
+        await until(lambda: entry.membership.peers[new.member.name].load)
+        assert [k.member.fence for k in entry.membership.sidecars("model")] == [
+            new.member.fence
+        ]
 
     system.run(work, services=0)
 
@@ -228,9 +232,9 @@
             body = {"prompt": "p", "max_tokens": 60}
             call = asyncio.create_task(client.call("POST", "/v1/completions", body))
             await until(lambda: engine.running)
-            link = sys.entries[0].link(("127.0.0.1", sidecar.own.port))
-            await link.ask(Body(drain=messages.Drain(5000)), 1.0)
-            await until(lambda: sidecar.own.leaving)
+            link = sys.entries[0].connection(("127.0.0.1", sidecar.member.port))
+            await link.call(Body(drain=messages.Drain(5000)), 1.0)
+            await until(lambda: sidecar.member.leaving)
             refused = await client.once(
                 "POST", "/v1/completions", [], json.dumps(body).encode(), 5.0
             )
@@ -247,7 +251,7 @@
         answer = await Fetcher().fetch(address, "POST", "/v1/drain?name=model-0")
         assert json.loads(answer.body)["told"] == ["sidecar-model-0"]
         new = await sys.replace_sidecar("model-0")
-        await until(lambda: new.own.leaving)
+        await until(lambda: new.member.leaving)
         row = await sys.tables.read("heads", "leaving/model-0")
         assert not isinstance(row, Missing)
 
