--- a/gypsumshift/backendrequest.py
+++ b/gypsumshift/backendrequest.py
@@ -72,11 +72,11 @@
         if data == b"[DONE]":
             return
         try:
-            piece = self.dialect.piece(json.loads(data))
+            piece = self.dialect.read_event_tokens(json.loads(data))
         except (ValueError, AttributeError, TypeError):
             self.labeller.bare = True
             return
-        self.labeller.add(piece.tokens, piece.version)
+        self.labeller.add_tokens(piece.tokens, piece.version)
 
     @property
     def needs_final_version(self) -> bool:
@@ -85,7 +85,7 @@
 
     def spans(self, after: int | None) -> list[Span]:
         """Return the spans of a finished stream; none where a version is in doubt."""
-        return self.labeller.finish(after) or []
+        return self.labeller.final_spans(after) or []
 
 
 @attrs.define
@@ -113,7 +113,7 @@
     def spans(self, after: int | None) -> list[Span]:
         """Return empty spans that name the versions; none where none is reported."""
         try:
-            version = self.dialect.piece(json.loads(self.body)).version
+            version = self.dialect.read_event_tokens(json.loads(self.body)).version
         except (ValueError, AttributeError, TypeError):
             return []
         if version is None:
--- a/gypsumshift/poller.py
+++ b/gypsumshift/poller.py
@@ -4,7 +4,7 @@
 
 from gypsumshift.outcomes import Missing, Unavailable
 from gypsumshift.platforms import Host
-from gypsumshift.revisions import CONFIG_HEAD, HEADS_TABLE
+from gypsumshift.revisions import CONFIG_HEAD_KEY, HEADS_TABLE
 
 __all__ = ["LEAVING_PREFIX", "WEIGHTS_PREFIX", "Poller"]
 
@@ -33,12 +33,12 @@
     async def load_first_revision(self) -> None:
         """Learn a revision to begin with, from the platform."""
         process = self.process
-        while not process.in_force.ready:
-            head = await process.history.head()
+        while not process.active_revision.ready:
+            head = await process.revision_history.read_newest_number()
             if not isinstance(head, Unavailable):
                 self.head_seen = head
                 await self.load_revision(head)
-            if not process.in_force.ready:
+            if not process.active_revision.ready:
                 await process.clock.sleep(STARTUP_RETRY_PERIOD_S)
 
     def may_start_with(self, number: int) -> bool:
@@ -49,18 +49,18 @@
         """
         if self.head_seen is not None:
             return number >= self.head_seen
-        known = self.process.view.known.values()
+        known = self.process.membership.peers.values()
         told = [each.revision for each in known if each.revision >= 0]
         return len(told) >= MIN_REVISION_REPORTS and number >= max(told)
 
     async def load_revision(self, number: int) -> None:
         """Read a revision from the platform and put it in force."""
-        if number <= self.process.in_force.number:
+        if number <= self.process.active_revision.number:
             return
-        accepted = await self.process.history.get(number)
+        accepted = await self.process.revision_history.read_revision(number)
         if isinstance(accepted, (Missing, Unavailable)):
             return
-        self.process.adopt(number, json.dumps(accepted.declarations))
+        self.process.adopt_revision(number, json.dumps(accepted.declarations))
 
     async def run(self) -> None:
         """Announce this process; read heads and hosts where that is its task."""
@@ -70,16 +70,16 @@
         while True:
             if not announced:
                 announced = await self.announce()
-            if process.polls():
+            if process.is_poller():
                 await self.read_heads()
-            if process.reads_hosts() and process.clock.monotonic() >= hosts_due:
+            if process.polls_hosts() and process.clock.monotonic() >= hosts_due:
                 hosts_due = process.clock.monotonic() + HOSTS_PERIOD_S
                 await self.read_hosts()
             await process.clock.sleep(HEADS_PERIOD_S)
 
     async def announce(self) -> bool:
         """Put this process on the platform's list; return whether it worked."""
-        own = self.process.own
+        own = self.process.member
         host = Host(own.name, f"{own.host}:{own.port}", own.zone)
         return not isinstance(await self.hosts.announce(host), Unavailable)
 
@@ -89,15 +89,15 @@
         if isinstance(rows, Unavailable):
             return
         for row in rows:
-            if row.key == CONFIG_HEAD:
+            if row.key == CONFIG_HEAD_KEY:
                 await self.load_revision(row.value["number"])
             elif row.key.startswith(WEIGHTS_PREFIX):
                 pool = row.key.removeprefix(WEIGHTS_PREFIX)
-                self.process.set_target(pool, row.value["version"])
+                self.process.set_target_version(pool, row.value["version"])
 
     async def read_hosts(self) -> None:
         """Read the platform's list of hosts."""
         hosts = await self.hosts.list()
         if not isinstance(hosts, Unavailable):
-            self.process.view.take_hosts(hosts)
-        self.process.view.forget()
+            self.process.membership.apply_host_list(hosts)
+        self.process.membership.remove_stale_peers()
--- a/history/mutants.py
+++ b/history/mutants.py
@@ -24,27 +24,29 @@
     """Label all tokens of a stream with the version of its first."""
     from gypsumshift import labels
 
-    inner = labels.Labeller.add
+    inner = labels.Labeller.add_tokens
 
     def add(self, tokens, version):
         inner(self, tokens, self.spans[0].version if self.spans else version)
 
-    labels.Labeller.add = add
+    labels.Labeller.add_tokens = add
 
 
 def skip_staleness():
     """Check the age of samples nowhere."""
-    from gypsumshift import generation, ledger
+    from gypsumshift import trainerdriver, trainerstore
 
-    ledger.is_fresh = generation.is_fresh = lambda group, trainee, bound: True
-    generation.Driver.floor = property(lambda self: -(10**9), lambda self, value: None)
+    trainerstore.is_fresh = trainerdriver.is_fresh = lambda group, trainee, bound: True
+    trainerdriver.TrainerDriver.min_version = property(
+        lambda self: -(10**9), lambda self, value: None
+    )
 
 
 def keep_sealed_groups():
     """Seal steps without taking their groups off the list."""
-    from gypsumshift import ledger
+    from gypsumshift import trainerstore
 
-    inner = ledger.Ledger.commit_step
+    inner = trainerstore.TrainerStore.commit_step
 
     async def commit_step(self, trainee, chosen):
         kept = [(_Kept(row), group) for row, group in chosen]
@@ -56,7 +58,7 @@
         def __init__(self, row):
             self.table, self.key, self.version = "nowhere", row.key, None
 
-    ledger.Ledger.commit_step = commit_step
+    trainerstore.TrainerStore.commit_step = commit_step
 
 
 def accept_short_bodies():
@@ -76,41 +78,41 @@
 
 def lost_is_not_run():
     """Call every request whose fate is unknown "not run"."""
-    from gypsumshift import callers
+    from gypsumshift import callerapi
 
-    inner = callers.problem_response
+    inner = callerapi.problem_response
 
     def problem(status, outcome, detail, **members):
         if outcome == "unknown":
             return inner(503, "not run", detail, retry_after=1.0)
         return inner(status, outcome, detail, **members)
 
-    callers.problem_response = problem
+    callerapi.problem_response = problem
 
 
 def forget_keys():
     """Take every key for a fresh one."""
-    from gypsumshift import keys
+    from gypsumshift import idempotency
 
     async def inspect_row(self, row, job):
-        return keys.Refusal("forgotten", 0.1)
+        return idempotency.Refusal("forgotten", 0.1)
 
-    keys.KeyOwner.inspect = inspect_row
+    idempotency.IdempotentRunner.inspect_claim = inspect_row
 
 
 def ignore_leaving():
     """Go on taking work while leaving."""
-    from gypsumshift import members, sidecar
+    from gypsumshift import membership, sidecar
 
-    sidecar.Sidecar.leave = lambda self, reason: None
-    inner = members.View.sidecars
+    sidecar.Sidecar.start_leaving = lambda self, reason: None
+    inner = membership.Membership.sidecars
 
     def sidecars(self, pool):
-        for known in self.known.values():
+        for known in self.peers.values():
             known.member.leaving = False
         return inner(self, pool)
 
-    members.View.sidecars = sidecars
+    membership.Membership.sidecars = sidecars
 
 
 def stop_at_once():
@@ -127,7 +129,7 @@
     """Learn new revisions only long after they were told."""
     from gypsumshift import heartbeats, poller
 
-    pull, read = heartbeats.Heartbeats.pull_revision, poller.Poller.read_heads
+    pull, read = heartbeats.HeartbeatExchanger.pull_revision, poller.Poller.read_heads
 
     async def pull_revision(self, link):
         await asyncio.sleep(LATE)
@@ -137,7 +139,7 @@
         await asyncio.sleep(LATE)
         await read(self)
 
-    heartbeats.Heartbeats.pull_revision = pull_revision
+    heartbeats.HeartbeatExchanger.pull_revision = pull_revision
     poller.Poller.read_heads = read_heads
 
 
