--- a/gypsumshift/hedging.py
+++ b/gypsumshift/hedging.py
@@ -12,8 +12,8 @@
 from gypsumshift import logs
 from gypsumshift.clock import Clock
 from gypsumshift.neighbours import StorePath
-from gypsumshift.outcomes import Committed, Conflict, Unavailable, Unknown, Written
-from gypsumshift.platforms import RowStore, WrappedStore, Write
+from gypsumshift.outcomes import Committed, Conflict, Unavailable, Unknown, WriteOutcome
+from gypsumshift.platforms import RowStore, StoreWrapper, Write
 from gypsumshift.policy import DEFAULT_POLICY, Policy
 
 __all__ = ["AverageAnswerTime", "HedgedStore"]
@@ -53,7 +53,7 @@
         )
 
 
-class HedgedStore(WrappedStore):
+class HedgedStore(StoreWrapper):
     """Store whose writes are sent again where their answers stay away.
 
     Parameters
@@ -78,7 +78,7 @@
         self.clock = clock
         self.answer_time = AverageAnswerTime()
 
-    async def commit(self, writes: list[Write]) -> Written:
+    async def commit(self, writes: list[Write]) -> WriteOutcome:
         """Apply all writes, or none where a condition does not hold.
 
         Where a copy met what the one before had written, that is a conflict, as it is
@@ -93,9 +93,9 @@
 
     async def race_copies(
         self, writes: list[Write], copies: set[asyncio.Task]
-    ) -> Written:
+    ) -> WriteOutcome:
         """Return the first outcome that is certain; an uncertain one if none is."""
-        ended: list[Written] = []
+        ended: list[WriteOutcome] = []
         sent = 0
         while True:
             if sent < self.max_copies and (not sent or self.may_send_copy(ended)):
@@ -113,11 +113,11 @@
             if not copies:
                 return self.uncertain_outcome(ended)
 
-    def may_send_copy(self, ended: list[Written]) -> bool:
+    def may_send_copy(self, ended: list[WriteOutcome]) -> bool:
         """Tell whether one more copy may find an answer."""
         return not ended and self.path.reaches_store
 
-    async def send_copy(self, writes: list[Write]) -> Written:
+    async def send_copy(self, writes: list[Write]) -> WriteOutcome:
         """Send one copy."""
         started = self.clock.monotonic()
         outcome = await self.inner.commit(writes)
@@ -125,7 +125,7 @@
             self.answer_time.record(self.clock.monotonic() - started)
         return outcome
 
-    def uncertain_outcome(self, ended: list[Written]) -> Unavailable | Unknown:
+    def uncertain_outcome(self, ended: list[WriteOutcome]) -> Unavailable | Unknown:
         """Return what may be said of a write of which no copy was answered."""
         unknown = [outcome for outcome in ended if isinstance(outcome, Unknown)]
         return unknown[0] if unknown else ended[0]
--- a/gypsumshift/jobs/heartbeatwriter.py
+++ b/gypsumshift/jobs/heartbeatwriter.py
@@ -16,7 +16,7 @@
 from gypsumshift.jobs.pace import Pace
 from gypsumshift.jobs.records import AGENTS, Heartbeat, to_row
 from gypsumshift.jobs.weights import WeightManager
-from gypsumshift.outcomes import Committed, Conflict, Written
+from gypsumshift.outcomes import Committed, Conflict, WriteOutcome
 from gypsumshift.platforms import ABSENT, Row, RowStore, Write
 from gypsumshift.serving.directory import ServerStart
 
@@ -121,7 +121,7 @@
         if isinstance(outcome, Conflict):
             await self.resolve_conflict(expected)
 
-    async def commit_heartbeat(self, expected: int | None) -> Written:
+    async def commit_heartbeat(self, expected: int | None) -> WriteOutcome:
         """Write the last heartbeat if its row has a version; None for any version."""
         name, value = self.local_engine.identity.name, to_row(self.last_heartbeat)
         write = Write(AGENTS, name, value, expected, part=heartbeat_part(name))
--- a/gypsumshift/memory.py
+++ b/gypsumshift/memory.py
@@ -10,7 +10,13 @@
 from gypsumshift.outcomes import Committed, Conflict, Missing
 from gypsumshift.platforms import Changes, HistoryLost, Host, Row, Write
 
-__all__ = ["MemoryHosts", "MemoryObjects", "MemoryTables", "MemoryWeights", "connect"]
+__all__ = [
+    "MemoryHostList",
+    "MemoryObjectStore",
+    "MemoryTables",
+    "MemoryWeightStore",
+    "connect",
+]
 
 PLATFORMS_BY_URL: dict[str, platforms.Platform] = {}
 
@@ -52,7 +58,7 @@
 
     async def commit(self, writes):
         """Apply all writes, or none if a condition does not hold."""
-        platforms.check_distinct(writes)
+        platforms.check_distinct_rows(writes)
         for write in writes:
             if not self.condition_holds(write):
                 return Conflict(f"{write.table}/{write.key}")
@@ -117,7 +123,7 @@
         return datetime.timedelta(seconds=time.monotonic())
 
 
-class MemoryObjects(platforms.Objects):
+class MemoryObjectStore(platforms.ObjectStore):
     """Object store in a dictionary."""
 
     def __init__(self):
@@ -140,7 +146,7 @@
         return Committed()
 
 
-class MemoryWeights(platforms.Weights):
+class MemoryWeightStore(platforms.WeightStore):
     """Weight store in a dictionary, without a rate limit."""
 
     def __init__(self):
@@ -154,7 +160,7 @@
         return Committed()
 
 
-class MemoryHosts(platforms.Hosts):
+class MemoryHostList(platforms.HostList):
     """Host list in a dictionary, which is always up to date."""
 
     def __init__(self):
@@ -174,7 +180,7 @@
     """Return the platform of a ``memory:`` URL, one instance per URL and process."""
     if url not in PLATFORMS_BY_URL:
         PLATFORMS_BY_URL[url] = platforms.Platform(
-            MemoryTables(), MemoryObjects(), MemoryWeights(), MemoryHosts()
+            MemoryTables(), MemoryObjectStore(), MemoryWeightStore(), MemoryHostList()
         )
     return PLATFORMS_BY_URL[url]
 
--- a/gypsumshift/outcomes.py
+++ b/gypsumshift/outcomes.py
@@ -16,7 +16,7 @@
     "Problem",
     "Unavailable",
     "Unknown",
-    "Written",
+    "WriteOutcome",
 ]
 
 
@@ -163,5 +163,5 @@
     problems: tuple[Problem, ...]
 
 
-Written = Committed | Conflict | Unavailable | Unknown
+WriteOutcome = Committed | Conflict | Unavailable | Unknown
 Outcome = Answered | NotRun | Unknown
--- a/gypsumshift/platforms.py
+++ b/gypsumshift/platforms.py
@@ -13,22 +13,22 @@
 
 import attrs
 
-from gypsumshift.outcomes import Missing, Unavailable, Written
+from gypsumshift.outcomes import Missing, Unavailable, WriteOutcome
 
 __all__ = [
     "Changes",
     "HistoryLost",
     "Host",
-    "Hosts",
-    "Objects",
+    "HostList",
+    "ObjectStore",
     "Platform",
     "Row",
     "RowStore",
     "Tables",
-    "Weights",
-    "WrappedStore",
+    "WeightStore",
+    "StoreWrapper",
     "Write",
-    "check_distinct",
+    "check_distinct_rows",
     "connect",
     "register",
 ]
@@ -90,7 +90,7 @@
     part: str = ""
 
 
-def check_distinct(writes: list[Write]) -> None:
+def check_distinct_rows(writes: list[Write]) -> None:
     """Raise ValueError if a transaction names a row twice.
 
     This is an error of the caller. The store checks all conditions before it applies
@@ -161,10 +161,10 @@
         """Return the rows whose keys begin with ``prefix``, sorted by key."""
 
     @abc.abstractmethod
-    async def commit(self, writes: list[Write]) -> Written:
+    async def commit(self, writes: list[Write]) -> WriteOutcome:
         """Apply all writes, or none if a condition does not hold.
 
-        No row may occur twice among the writes; see `check_distinct`.
+        No row may occur twice among the writes; see `check_distinct_rows`.
         """
 
 
@@ -209,7 +209,7 @@
         """Return the store's monotonic time, estimated from its last answer."""
 
 
-class WrappedStore(RowStore):
+class StoreWrapper(RowStore):
     """Store that passes every call on to another one; base class for wrappers.
 
     Parameters
@@ -245,11 +245,11 @@
         return self.inner.now()
 
 
-class Objects(abc.ABC):
+class ObjectStore(abc.ABC):
     """Object store in which existing objects cannot be overwritten."""
 
     @abc.abstractmethod
-    async def put(self, name: str, data: bytes) -> Written:
+    async def put(self, name: str, data: bytes) -> WriteOutcome:
         """Store an object; return `Conflict` if the name exists already."""
 
     @abc.abstractmethod
@@ -257,23 +257,23 @@
         """Return the contents of an object."""
 
     @abc.abstractmethod
-    async def delete(self, name: str) -> Written:
+    async def delete(self, name: str) -> WriteOutcome:
         """Remove an object; removing a missing object succeeds."""
 
 
-class Weights(abc.ABC):
+class WeightStore(abc.ABC):
     """Rate-limited store of model weights."""
 
     @abc.abstractmethod
-    async def publish(self, pool: str, version: int, data: bytes) -> Written:
+    async def publish(self, pool: str, version: int, data: bytes) -> WriteOutcome:
         """Store the weights of a version; return `Conflict` if it exists already."""
 
 
-class Hosts(abc.ABC):
+class HostList(abc.ABC):
     """List of hosts that run or are about to be removed; it may be out of date."""
 
     @abc.abstractmethod
-    async def announce(self, host: Host) -> Written:
+    async def announce(self, host: Host) -> WriteOutcome:
         """Add this process to the list."""
 
     @abc.abstractmethod
@@ -288,15 +288,15 @@
     Attributes
     ----------
     tables : Tables
-    objects : Objects
-    weights : Weights
-    hosts : Hosts
+    objects : ObjectStore
+    weights : WeightStore
+    hosts : HostList
     """
 
     tables: Tables
-    objects: Objects
-    weights: Weights
-    hosts: Hosts
+    objects: ObjectStore
+    weights: WeightStore
+    hosts: HostList
 
 
 ADAPTERS: dict[str, Callable[[str], Platform]] = {}
--- a/gypsumshift/remote.py
+++ b/gypsumshift/remote.py
@@ -13,7 +13,7 @@
     Missing,
     Unavailable,
     Unknown,
-    Written,
+    WriteOutcome,
 )
 from gypsumshift.platforms import Host, Row
 
@@ -61,7 +61,7 @@
         data = await self.read(target)
         return json.loads(data) if isinstance(data, bytes) else data
 
-    async def write(self, method: str, target: str, body: bytes = b"") -> Written:
+    async def write(self, method: str, target: str, body: bytes = b"") -> WriteOutcome:
         """Write something; an answer that is lost leaves the outcome unknown."""
         try:
             answer = await self.fetcher.fetch(
@@ -72,7 +72,7 @@
         return write_outcome(answer)
 
 
-def write_outcome(answer: FetchedResponse) -> Written:
+def write_outcome(answer: FetchedResponse) -> WriteOutcome:
     """Return the outcome that a status says."""
     if answer.status in (200, 201, 204):
         return Committed()
@@ -109,7 +109,7 @@
         return await self.client.write("POST", "/tables", body)
 
 
-class RemoteObjects(platforms.Objects):
+class RemoteObjects(platforms.ObjectStore):
     """Object store over HTTP."""
 
     def __init__(self, client: PlatformClient):
@@ -128,7 +128,7 @@
         return await self.client.write("DELETE", f"/objects/{quote_segment(name)}")
 
 
-class RemoteWeights(platforms.Weights):
+class RemoteWeights(platforms.WeightStore):
     """Weight store over HTTP."""
 
     def __init__(self, client: PlatformClient):
@@ -141,7 +141,7 @@
         )
 
 
-class RemoteHosts(platforms.Hosts):
+class RemoteHosts(platforms.HostList):
     """Host list over HTTP."""
 
     def __init__(self, client: PlatformClient):
--- a/gypsumshift/serving/crashtable.py
+++ b/gypsumshift/serving/crashtable.py
@@ -16,7 +16,7 @@
 
 from gypsumshift import logs
 from gypsumshift.clock import Clock
-from gypsumshift.outcomes import Committed, Conflict, Written
+from gypsumshift.outcomes import Committed, Conflict, WriteOutcome
 from gypsumshift.platforms import Row, RowStore, Write
 from gypsumshift.serving.directory import ServerStart
 from gypsumshift.serving.quarantine import (
@@ -353,7 +353,7 @@
             or self.quarantine.crash_count(crash.fingerprint) > 1
         ]
 
-    def record_failure(self, outcome: Written) -> float:
+    def record_failure(self, outcome: WriteOutcome) -> float:
         """Count a transaction that may have failed; return the retry delay."""
         self.failures += 1
         if self.failures == 1:
--- a/gypsumshift/serving/trialclaims.py
+++ b/gypsumshift/serving/trialclaims.py
@@ -2,7 +2,7 @@
 
 import enum
 
-from gypsumshift.outcomes import Committed, Conflict, Written
+from gypsumshift.outcomes import Committed, Conflict, WriteOutcome
 from gypsumshift.platforms import ABSENT, Row, RowStore, Write
 
 __all__ = [
@@ -92,7 +92,7 @@
         """Discard the claim of a trial whose row was removed."""
         self.claimed.pop(key, None)
 
-    async def remove_withdrawn_row(self) -> Written:
+    async def remove_withdrawn_row(self) -> WriteOutcome:
         """Remove the row of one withdrawn trial, unless the row has a newer version.
 
         The store may repeat a removal later, when another process may already have
--- a/gypsumshift/sharedreads.py
+++ b/gypsumshift/sharedreads.py
@@ -23,7 +23,7 @@
 from gypsumshift.httpserver import Request, Response
 from gypsumshift.neighbours import Neighbour, StorePath
 from gypsumshift.outcomes import Unavailable
-from gypsumshift.platforms import Changes, Row, RowStore, WrappedStore
+from gypsumshift.platforms import Changes, Row, RowStore, StoreWrapper
 from gypsumshift.policy import DEFAULT_POLICY, Policy
 
 __all__ = [
@@ -76,7 +76,7 @@
         return self.packed
 
 
-class SharedReadStore(WrappedStore):
+class SharedReadStore(StoreWrapper):
     """Store whose whole tables are read once for a zone.
 
     Parameters
--- a/gypsumshift/trainerstore.py
+++ b/gypsumshift/trainerstore.py
@@ -24,7 +24,7 @@
     Missing,
     Unavailable,
     Unknown,
-    Written,
+    WriteOutcome,
 )
 from gypsumshift.platforms import ABSENT, Platform, Row, Write
 
@@ -165,7 +165,7 @@
 
     async def finish_group(
         self, row: Row, group: Group, samples: list[Sample], name: str = ""
-    ) -> Written:
+    ) -> WriteOutcome:
         """Put a group's samples as an object and mark it ready, where it still waits.
 
         With the same ``name`` again it is harmless after an unknown outcome.
@@ -185,14 +185,14 @@
             [Write(row.table, row.key, attrs.asdict(ready), row.version)]
         )
 
-    async def fail_group(self, row: Row, group: Group, reason: str) -> Written:
+    async def fail_group(self, row: Row, group: Group, reason: str) -> WriteOutcome:
         """Set a group aside that no engine will generate."""
         failed = attrs.evolve(group, failed=reason)
         return await self.tables.commit(
             [Write(row.table, row.key, attrs.asdict(failed), row.version)]
         )
 
-    async def discard_samples(self, row: Row, group: Group) -> Written:
+    async def discard_samples(self, row: Row, group: Group) -> WriteOutcome:
         """Take a ready group's samples back, to have it generated again."""
         opened = attrs.evolve(group, object="", oldest=0, newest=0)
         outcome = await self.tables.commit(
--- a/gypsumshift/weightpublisher.py
+++ b/gypsumshift/weightpublisher.py
@@ -1,6 +1,6 @@
 """Publication: naming a new weight version to everyone."""
 
-from gypsumshift.outcomes import Committed, Missing, Unavailable, Unknown, Written
+from gypsumshift.outcomes import Committed, Missing, Unavailable, Unknown, WriteOutcome
 from gypsumshift.platforms import ABSENT, Write
 from gypsumshift.poller import WEIGHTS_PREFIX
 from gypsumshift.process import Process
@@ -23,7 +23,9 @@
         self.process = process
         self.tables = process.platform.tables
 
-    async def publish(self, pool: str, version: int, data: bytes, by: str) -> Written:
+    async def publish(
+        self, pool: str, version: int, data: bytes, by: str
+    ) -> WriteOutcome:
         """Store the weights, then name the version; doing it twice is harmless.
 
         Parameters
@@ -46,7 +48,9 @@
                 return outcome
         return Unknown("the platform's answer was lost")
 
-    async def set_newest_version(self, pool: str, version: int, by: str) -> Written:
+    async def set_newest_version(
+        self, pool: str, version: int, by: str
+    ) -> WriteOutcome:
         """Name a version as the newest of a pool, where it is."""
         key = WEIGHTS_PREFIX + pool
         row = await self.tables.read(HEADS_TABLE, key)
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -65,9 +65,9 @@
     """Return a new platform in memory."""
     return platforms.Platform(
         tables or memory.MemoryTables(),
-        memory.MemoryObjects(),
-        memory.MemoryWeights(),
-        memory.MemoryHosts(),
+        memory.MemoryObjectStore(),
+        memory.MemoryWeightStore(),
+        memory.MemoryHostList(),
     )
 
 
--- a/tests/crash_fakes.py
+++ b/tests/crash_fakes.py
@@ -13,7 +13,7 @@
 from gypsumshift.memory import MemoryTables
 from gypsumshift.neighbours import Neighbour
 from gypsumshift.outcomes import Unavailable, Unknown
-from gypsumshift.platforms import WrappedStore
+from gypsumshift.platforms import StoreWrapper
 from tests.job_builders import NAMES
 
 # Network delay in each direction.
@@ -29,7 +29,7 @@
         return datetime.timedelta(seconds=asyncio.get_running_loop().time())
 
 
-class GatewayStore(WrappedStore):
+class GatewayStore(StoreWrapper):
     """Connection of one gateway to the store, with delays and faults.
 
     Attributes
--- a/tests/test_late_machine.py
+++ b/tests/test_late_machine.py
@@ -16,7 +16,7 @@
 from gypsumshift.jobs.localengine import AgentIdentity
 from gypsumshift.memory import MemoryTables
 from gypsumshift.outcomes import Unavailable, Unknown
-from gypsumshift.platforms import WrappedStore
+from gypsumshift.platforms import StoreWrapper
 from gypsumshift.serving import Directory
 from gypsumshift.watch import run_watches
 from tests import job_builders as jw
@@ -27,7 +27,7 @@
 FAULTS, CALM, REST = 8.0, 40.0, 6.0
 
 
-class LateStore(WrappedStore):
+class LateStore(StoreWrapper):
     """Store connection of one process, with late writes and answers."""
 
     def __init__(self, world):
