--- a/gypsumshift/outcomes.py
+++ b/gypsumshift/outcomes.py
@@ -95,7 +95,7 @@
     body: bytes = b""
 
     def header(self, name: str, default: str = "") -> str:
-        """Return the first header field with a name, which is given in lower case."""
+        """Return the first value of a header field, named in lower case."""
         return next((value for key, value in self.headers if key == name), default)
 
 
