--- a/bench/load.py
+++ b/bench/load.py
@@ -122,7 +122,7 @@
         method, path, body, headers = self.request(self.chance)
         client = self.chance.choice(self.clients)
         fields = [*headers, ("prefer", f"wait={self.timeout}")]
-        outcome = await client.once(method, path, fields, body, self.timeout)
+        outcome = await client.call_once(method, path, fields, body, self.timeout)
         took = asyncio.get_running_loop().time() - due
         if isinstance(outcome, NotRun):
             result.not_run += 1
--- a/gypsumshift/attemptrunner.py
+++ b/gypsumshift/attemptrunner.py
@@ -154,7 +154,7 @@
 
     def make_refusal(self, run: AttemptRun, reason: str, retry_after: float) -> Body:
         """Return a true "not run"."""
-        self.recorder.note("not-run", run.start.attempt, reason)
+        self.recorder.record("not-run", run.start.attempt, reason)
         retry_ms = int(retry_after * 1000)
         refused = messages.Refused(
             reason, retry_ms, self.current_load(), reason == BUSY_REASON
@@ -228,7 +228,7 @@
     async def send_attempt(self, run: AttemptRun, ticket: Ticket) -> Body:
         """Send one attempt to the backend server; return the last message about it."""
         start = run.start
-        self.recorder.note("start", start.attempt, f"{start.method} {start.target}")
+        self.recorder.record("start", start.attempt, f"{start.method} {start.target}")
         remaining = ticket.deadline - self.clock.monotonic()
         try:
             async with asyncio.timeout(remaining):
@@ -285,7 +285,7 @@
             self.attempt_log.record_end(run.start.attempt, head, bytes(kept))
         seen = ",".join(str(version) for version in distinct_versions(spans))
         detail = f"versions {seen}" if seen else ""
-        self.recorder.note("end", run.start.attempt, detail)
+        self.recorder.record("end", run.start.attempt, detail)
         return messages.End(spans)
 
     def make_failure(self, run: AttemptRun, reason: str, sent: bool) -> Body:
@@ -296,7 +296,7 @@
             return self.make_refusal(run, reason, RETRY_AFTER_S)
         if not run.start.repeatable:
             self.attempt_log.record_end(attempt, None, b"")
-        self.recorder.note("broken", attempt, reason)
+        self.recorder.record("broken", attempt, reason)
         return Body(broken=messages.Broken(reason))
 
     # Ending
--- a/gypsumshift/backend.py
+++ b/gypsumshift/backend.py
@@ -3,7 +3,7 @@
 from gypsumshift import logs
 from gypsumshift.clock import Clock
 from gypsumshift.dialects import DIALECTS, BackendState, Dialect
-from gypsumshift.events import Recorder
+from gypsumshift.events import EventRecorder
 from gypsumshift.generated.declarations import Pool
 from gypsumshift.httpclient import Fetcher, FetchError
 from gypsumshift.outcomes import Committed, Conflict, Missing, Unavailable
@@ -28,7 +28,7 @@
     pool : Pool
         Declaration of its pool.
     fetcher : Fetcher
-    recorder : Recorder
+    recorder : EventRecorder
     name : str
     """
 
@@ -36,7 +36,7 @@
         self.address = address
         self.pool = pool
         self.fetcher = fetcher
-        self.recorder: Recorder = recorder
+        self.recorder: EventRecorder = recorder
         self.name = name
         self.state = BackendState(False)
         self.swapping = False
@@ -58,7 +58,7 @@
             state = BackendState(False)
         if state.healthy != self.state.healthy:
             kind = "healthy" if state.healthy else "unhealthy"
-            self.recorder.note(kind, self.name, "by its own report")
+            self.recorder.record(kind, self.name, "by its own report")
         self.state = state
         return state
 
@@ -72,7 +72,7 @@
         if order is None:
             return True
         self.swapping = True
-        self.recorder.note("load", self.name, f"version {version} fence {fence}")
+        self.recorder.record("load", self.name, f"version {version} fence {fence}")
         try:
             await self.fetcher.fetch(
                 self.address,
@@ -90,7 +90,7 @@
         loaded = state.version == version
         self.failed_swaps = 0 if loaded else self.failed_swaps + 1
         kind = "loaded" if loaded else "load-failed"
-        self.recorder.note(kind, self.name, f"version {version}")
+        self.recorder.record(kind, self.name, f"version {version}")
         return loaded
 
 
--- a/gypsumshift/cli.py
+++ b/gypsumshift/cli.py
@@ -20,23 +20,23 @@
 import typer
 
 from gypsumshift import declarations, documents, settings, timeline, traces
-from gypsumshift.face import (
+from gypsumshift.keycommands import keys_app
+from gypsumshift.operatorclient import (
     DEFAULT_OPERATOR,
     EXIT_INVALID,
     EXIT_LAGGING,
-    Face,
+    OperatorClient,
     fail,
-    refuse,
+    fail_with_problem,
 )
-from gypsumshift.keycommands import keys_app
 from gypsumshift.outcomes import Invalid
 
 __all__ = ["main"]
 
-SETTLE_TRIES = 5
-SETTLE_PAUSE = 1.0
-WAIT_PERIOD = 0.2
-LAGGARDS_SHOWN = 10
+APPLY_TRIES = 5
+APPLY_RETRY_PAUSE_S = 1.0
+STATUS_POLL_PERIOD_S = 0.2
+MAX_LAGGING_SHOWN = 10
 
 app = typer.Typer(
     help="Operate gypsumshift: declarations, processes, weights, time line.",
@@ -48,7 +48,7 @@
 app.add_typer(keys_app, name="keys", no_args_is_help=True)
 
 
-face = Face()
+operator_client = OperatorClient()
 JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 
 
@@ -58,7 +58,7 @@
 
 
 @app.callback()
-def common(
+def set_common_options(
     operator: Annotated[
         str,
         typer.Option(envvar="GYPSUMSHIFT_OPERATOR", help="URL of an operator face."),
@@ -69,11 +69,11 @@
     ] = None,
 ) -> None:
     """Take the options that all commands share."""
-    face.url = operator
-    face.token = os.environ.get(settings.TOKEN_VARIABLE, "")
+    operator_client.url = operator
+    operator_client.token = os.environ.get(settings.OPERATOR_TOKEN_VARIABLE, "")
     if token_file is not None:
         try:
-            face.token = token_file.read_text().strip()
+            operator_client.token = token_file.read_text().strip()
         except OSError as error:
             fail(f"{token_file}: {error.strerror}; name another file", EXIT_INVALID)
 
@@ -88,9 +88,9 @@
     return catalog
 
 
-def is_settings(path: pathlib.Path) -> bool:
+def is_settings_file(path: pathlib.Path) -> bool:
     """Tell whether a file holds the settings of a process."""
-    value = documents.read(path) if path.is_file() else None
+    value = documents.read_file(path) if path.is_file() else None
     return isinstance(value, dict) and ("role" in value or "platform" in value)
 
 
@@ -99,7 +99,9 @@
     """Check settings and declarations, without asking anybody."""
     wrong = False
     for path in paths:
-        outcome = settings.load(path) if is_settings(path) else declarations.load(path)
+        outcome = (
+            settings.load(path) if is_settings_file(path) else declarations.load(path)
+        )
         if isinstance(outcome, Invalid):
             wrong = True
             for problem in outcome.problems:
@@ -113,7 +115,7 @@
 @app.command()
 def plan(path: pathlib.Path, as_json: JsonOption = False) -> None:
     """Show what declarations would change; nothing is accepted."""
-    planned = make_plan(load_or_fail(path))
+    planned = request_plan(load_or_fail(path))
     if as_json:
         print_json(planned)
         return
@@ -122,11 +124,13 @@
         print(f"  {line}")
 
 
-def make_plan(catalog: declarations.Catalog) -> dict:
+def request_plan(catalog: declarations.Catalog) -> dict:
     """Return the plan that an entry makes of declarations."""
-    answer = face.ask("POST", "/v1/plan", {"declarations": catalog.source})
+    answer = operator_client.send_request(
+        "POST", "/v1/plan", {"declarations": catalog.source}
+    )
     if answer.status != 200:
-        refuse(answer)
+        fail_with_problem(answer)
     return json.loads(answer.body)
 
 
@@ -149,7 +153,7 @@
 ) -> None:
     """Accept declarations as the next revision."""
     catalog = load_or_fail(path)
-    planned = make_plan(catalog)
+    planned = request_plan(catalog)
     if not planned["difference"] and base is None:
         print(f"nothing changes; revision {planned['base']} says the same")
         return
@@ -160,30 +164,30 @@
         "message": message,
         "token": token or secrets.token_hex(16),
     }
-    number = settle_apply(value)
+    number = apply_until_known(value)
     lagging = wait_in_force(number, timeout) if wait else []
     if as_json:
         print_json({"number": number, "lagging": lagging})
     else:
         print(f"revision {number} is accepted")
     if lagging:
-        names = ", ".join(lagging[:LAGGARDS_SHOWN])
+        names = ", ".join(lagging[:MAX_LAGGING_SHOWN])
         fail(f"revision {number} is not in force yet in: {names}", EXIT_LAGGING)
 
 
-def settle_apply(value: dict) -> int:
+def apply_until_known(value: dict) -> int:
     """Apply until the outcome is known; the token makes a second try harmless."""
-    for _ in range(SETTLE_TRIES):
-        answer = face.ask("POST", "/v1/apply", value)
+    for _ in range(APPLY_TRIES):
+        answer = operator_client.send_request("POST", "/v1/apply", value)
         if answer.status == 200:
             return json.loads(answer.body)["number"]
         if answer.status not in (503, 504):
             break
-        time.sleep(SETTLE_PAUSE)
+        time.sleep(APPLY_RETRY_PAUSE_S)
     if answer.status == 504:
         again = f"--base {value['base']} --token {value['token']}"
         print(f"gypsumshift: to settle it, apply again with {again}", file=sys.stderr)
-    refuse(answer)
+    fail_with_problem(answer)
 
 
 def wait_in_force(number: int, timeout: float) -> list[str]:
@@ -198,13 +202,13 @@
     with rich.progress.Progress(*columns, console=err, transient=True) as progress:
         task = progress.add_task(f"revision {number} in force", total=None)
         while True:
-            rows = face.get("/v1/status")
+            rows = operator_client.get_json("/v1/status")
             lagging = [r["name"] for r in rows if (r["revision"] or 0) < number]
             done = len(rows) - len(lagging)
             progress.update(task, total=len(rows), completed=done)
             if not lagging or time.monotonic() >= deadline:
                 return lagging
-            time.sleep(WAIT_PERIOD)
+            time.sleep(STATUS_POLL_PERIOD_S)
 
 
 @app.command()
@@ -213,7 +217,9 @@
     as_json: JsonOption = False,
 ) -> None:
     """Print the declarations of one revision."""
-    value = face.get(f"/v1/revisions/{urllib.parse.quote(revision, safe='')}")
+    value = operator_client.get_json(
+        f"/v1/revisions/{urllib.parse.quote(revision, safe='')}"
+    )
     if as_json:
         print_json(value)
         return
@@ -224,7 +230,7 @@
 @app.command()
 def history(as_json: JsonOption = False) -> None:
     """List the accepted revisions."""
-    rows = face.get("/v1/revisions")
+    rows = operator_client.get_json("/v1/revisions")
     if as_json:
         print_json(rows)
         return
@@ -240,7 +246,7 @@
     ] = False,
 ) -> None:
     """Show the processes, their backend servers and what each has in force."""
-    rows = face.get("/v1/status")
+    rows = operator_client.get_json("/v1/status")
     if as_json:
         print_json(rows)
         return
@@ -287,9 +293,9 @@
 ) -> None:
     """Have a backend server, or one process, take no new work."""
     target = f"/v1/drain?name={urllib.parse.quote(name)}"
-    answer = face.ask("DELETE" if undo else "POST", target)
+    answer = operator_client.send_request("DELETE" if undo else "POST", target)
     if answer.status != 200:
-        refuse(answer)
+        fail_with_problem(answer)
     if undo:
         print(f"{name} takes work again once its sidecar is restarted")
         return
@@ -300,7 +306,7 @@
 @weights_app.command("show")
 def weights_show(as_json: JsonOption = False) -> None:
     """Show the newest version of each pool, and who has loaded which."""
-    pools = face.get("/v1/weights")
+    pools = operator_client.get_json("/v1/weights")
     if as_json:
         print_json(pools)
         return
@@ -318,9 +324,9 @@
     except OSError as error:
         fail(f"{file}: {error.strerror}; name another file", EXIT_INVALID)
     query = urllib.parse.urlencode({"pool": pool, "version": version})
-    answer = face.ask("PUT", f"/v1/weights?{query}", body=data)
+    answer = operator_client.send_request("PUT", f"/v1/weights?{query}", body=data)
     if answer.status != 200:
-        refuse(answer)
+        fail_with_problem(answer)
     print(f"version {version} of {pool} is published")
 
 
@@ -361,7 +367,9 @@
     as_json: JsonOption = False,
 ) -> None:
     """Show the events of all processes about one subject, in one order."""
-    value = face.get(f"/v1/timeline?subject={urllib.parse.quote(subject)}")
+    value = operator_client.get_json(
+        f"/v1/timeline?subject={urllib.parse.quote(subject)}"
+    )
     if as_json:
         print_json(value)
         return
--- a/gypsumshift/client.py
+++ b/gypsumshift/client.py
@@ -24,11 +24,11 @@
     "call",
 ]
 
-DEFAULT_TIMEOUT = 30.0
-PULL_WAIT = 20.0
-PAUSE = 0.2
-PAUSE_MOST = 5.0
-UNSENT = datetime.timedelta(seconds=PAUSE)
+DEFAULT_TIMEOUT_S = 30.0
+STEP_WAIT_S = 20.0
+RETRY_PAUSE_S = 0.2
+MAX_RETRY_PAUSE_S = 5.0
+UNSENT_RETRY_AFTER = datetime.timedelta(seconds=RETRY_PAUSE_S)
 UNSAFE_METHODS = ("POST", "PATCH")
 JSON_TYPE = ("content-type", "application/json")
 
@@ -81,14 +81,14 @@
     def __init__(
         self,
         urls: str | list[str],
-        timeout: float = DEFAULT_TIMEOUT,
+        timeout: float = DEFAULT_TIMEOUT_S,
         workspace_key: str = "",
     ):
         self.workspace_key = workspace_key
         self.addresses, self.path = split_urls(urls)
         self.timeout = timeout
         self.fetcher = Fetcher()
-        self.turn = 0
+        self.entry_index = 0
 
     async def __aenter__(self):
         return self
@@ -98,7 +98,7 @@
 
     def next_address(self) -> tuple[str, int]:
         """Return the address of the entry to use now."""
-        return self.addresses[self.turn % len(self.addresses)]
+        return self.addresses[self.entry_index % len(self.addresses)]
 
     async def call(
         self,
@@ -134,7 +134,7 @@
         timeout = timeout or self.timeout
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
-        data, fields = encoded(body)
+        data, fields = encode_body(body)
         fields += list((headers or {}).items())
         if self.workspace_key:
             fields.append(("authorization", f"Bearer {self.workspace_key}"))
@@ -146,19 +146,19 @@
             fields.append(("idempotency-key", key))
         if unrepeatable:
             fields.append(("gypsumshift-unrepeatable", "?1"))
-        outcome: Outcome = NotRun("no time was left", UNSENT)
+        outcome: Outcome = NotRun("no time was left", UNSENT_RETRY_AFTER)
         doubt: Unknown | None = None
         fresh = made_up
         while (left := deadline - loop.time()) > 0:
             now = [*fields, ("prefer", f"wait={left:.3f}")]
             now += [("gypsumshift-fresh-key", "?1")] if fresh else []
-            outcome = await self.once(method, path, now, data, left)
+            outcome = await self.call_once(method, path, now, data, left)
             fresh = fresh and isinstance(outcome, NotRun)
             if isinstance(outcome, Answered):
                 return outcome
             if isinstance(outcome, Unknown):
                 doubt = outcome
-            pause = PAUSE
+            pause = RETRY_PAUSE_S
             if isinstance(outcome, NotRun):
                 pause = outcome.retry_after.total_seconds()
             if loop.time() + pause >= deadline:
@@ -166,19 +166,23 @@
             await asyncio.sleep(pause)
         return doubt or outcome
 
-    async def once(self, method, path, headers, data, timeout) -> Outcome:
+    async def call_once(self, method, path, headers, data, timeout) -> Outcome:
         """Call through one entry, once; another entry is next after a failure."""
         try:
             answer = await self.fetcher.fetch(
                 self.next_address(), method, self.path + path, headers, data, timeout
             )
         except FetchError as error:
-            self.turn += 1
-            return Unknown(str(error)) if error.sent else NotRun(str(error), UNSENT)
-        return outcome_of(answer)
+            self.entry_index += 1
+            return (
+                Unknown(str(error))
+                if error.sent
+                else NotRun(str(error), UNSENT_RETRY_AFTER)
+            )
+        return read_outcome(answer)
 
 
-def encoded(body: object) -> tuple[bytes, list[tuple[str, str]]]:
+def encode_body(body: object) -> tuple[bytes, list[tuple[str, str]]]:
     """Return a body as bytes, with the header fields that it needs."""
     if body is None:
         return b"", []
@@ -187,7 +191,7 @@
     return json.dumps(body).encode(), [JSON_TYPE]
 
 
-def outcome_of(answer: FetchedResponse) -> Outcome:
+def read_outcome(answer: FetchedResponse) -> Outcome:
     """Return the outcome that an entry's answer says."""
     headers = tuple((k.decode(), v.decode("latin-1")) for k, v in answer.headers)
     answered = Answered(answer.status, headers, answer.body)
@@ -198,7 +202,7 @@
     except ValueError:
         return Unknown("the entry's answer cannot be read")
     if value.get("outcome") == "not run" and answer.status in (429, 503):
-        seconds = float(value.get("retry_after", PAUSE))
+        seconds = float(value.get("retry_after", RETRY_PAUSE_S))
         return NotRun(value.get("detail", ""), datetime.timedelta(seconds=seconds))
     if value.get("outcome") == "unknown":
         return Unknown(value.get("detail", ""))
@@ -231,9 +235,11 @@
     async def __aexit__(self, *exc_info):
         await self.client.__aexit__(*exc_info)
 
-    async def ask(self, method: str, path: str, body: object = None) -> dict:
+    async def request_until_answered(
+        self, method: str, path: str, body: object = None
+    ) -> dict:
         """Ask until an entry answers; all requests of a trainer may be repeated."""
-        pause = PAUSE
+        pause = RETRY_PAUSE_S
         while True:
             outcome = await self.client.call(method, path, body)
             if isinstance(outcome, Answered):
@@ -241,19 +247,19 @@
                     raise RequestRejected(outcome.body.decode("utf-8", "replace"))
                 return json.loads(outcome.body)
             await asyncio.sleep(pause)
-            pause = min(2 * pause, PAUSE_MOST)
+            pause = min(2 * pause, MAX_RETRY_PAUSE_S)
 
     async def submit(self, groups: list[Group]) -> int:
         """Submit groups; return how many were new. An id counts once, ever."""
         wanted = ("id", "prompt", "samples", "max_tokens", "temperature")
         value = [{name: getattr(group, name) for name in wanted} for group in groups]
-        answer = await self.ask("POST", "/groups", value)
+        answer = await self.request_until_answered("POST", "/groups", value)
         return answer["accepted"]
 
     async def step(self, number: int) -> Delivery:
         """Return a step once it is complete; the same number, the same samples."""
-        query = f"?version={self.version}&wait={PULL_WAIT}"
-        answer = await self.ask("GET", f"/steps/{number}{query}")
+        query = f"?version={self.version}&wait={STEP_WAIT_S}"
+        answer = await self.request_until_answered("GET", f"/steps/{number}{query}")
         samples = cattrs.structure(answer["samples"], list[Sample])
         return Delivery(answer["step"], answer["version"], samples)
 
@@ -267,18 +273,18 @@
             number behind the last step that the checkpoint contains.
         """
         if start is None:
-            start = max(1, (await self.ask("GET", ""))["sealed"])
+            start = max(1, (await self.request_until_answered("GET", ""))["sealed"])
         while True:
             yield await self.step(start)
             start += 1
 
     async def publish(self, version: int, data: bytes) -> None:
         """Publish the weights of a version, and train on it from now on."""
-        await self.ask("PUT", f"/weights/{version}", data)
+        await self.request_until_answered("PUT", f"/weights/{version}", data)
         self.version = max(self.version, version)
 
 
-class Blocking:
+class BlockingWrapper:
     """Runs an asynchronous object on an event loop of its own."""
 
     def __init__(self, inner):
@@ -293,13 +299,13 @@
         self.runner.close()
 
 
-class Client(Blocking):
+class Client(BlockingWrapper):
     """Calls models and services; see `AsyncClient`."""
 
     def __init__(
         self,
         urls: str | list[str],
-        timeout: float = DEFAULT_TIMEOUT,
+        timeout: float = DEFAULT_TIMEOUT_S,
         workspace_key: str = "",
     ):
         super().__init__(AsyncClient(urls, timeout, workspace_key))
@@ -309,7 +315,7 @@
         return self.runner.run(self.inner.call(method, path, body, **options))
 
 
-class Trainer(Blocking):
+class Trainer(BlockingWrapper):
     """Feeds a trainer; see `AsyncTrainer`."""
 
     def __init__(
--- a/gypsumshift/daemon.py
+++ b/gypsumshift/daemon.py
@@ -16,13 +16,13 @@
 __all__ = ["main"]
 
 EXIT_INVALID = 2
-DRAIN_DEADLINE = 30.0
+DRAIN_DEADLINE_S = 30.0
 
 log = logs.logger("daemon")
 app = typer.Typer(add_completion=False)
 
 
-def new_process(chosen: settings.Settings):
+def make_process(chosen: settings.Settings):
     """Return the process of the role that the settings name."""
     if chosen.role == "entry":
         from gypsumshift.entry import Entry
@@ -33,11 +33,11 @@
     return Sidecar(chosen)
 
 
-async def serve(chosen: settings.Settings) -> int:
+async def run_process(chosen: settings.Settings) -> int:
     """Run one process until it is told to leave and has; return the exit status."""
     loop = asyncio.get_running_loop()
     try:
-        process = new_process(chosen)
+        process = make_process(chosen)
         await process.start()
     except OSError as error:
         log.error("Cannot listen on {}: {}.", chosen.host, error.strerror or error)
@@ -50,7 +50,7 @@
     def leave() -> None:
         # A second signal changes nothing: what runs is still finished.
         if not leaving:
-            leaving.add(loop.create_task(depart(process)))
+            leaving.add(loop.create_task(drain_and_stop(process)))
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, leave)
@@ -59,9 +59,9 @@
     return 0 if leaving else os.EX_SOFTWARE
 
 
-async def depart(process) -> None:
+async def drain_and_stop(process) -> None:
     """Drain a process, then have it stop."""
-    await process.drain(DRAIN_DEADLINE)
+    await process.drain(DRAIN_DEADLINE_S)
     process.stopped.set()
 
 
@@ -78,7 +78,7 @@
             print(f"gypsumshiftd: {problem}", file=sys.stderr)
         raise typer.Exit(EXIT_INVALID)
     logs.configure(chosen.name, chosen.log_format, chosen.log_level)
-    raise typer.Exit(asyncio.run(serve(chosen)))
+    raise typer.Exit(asyncio.run(run_process(chosen)))
 
 
 def main() -> None:
--- a/gypsumshift/declarations.py
+++ b/gypsumshift/declarations.py
@@ -52,47 +52,47 @@
         return Invalid((Problem(str(path), what, "write one"),))
     values, problems = {}, []
     for file in files:
-        value = documents.read(file)
+        value = documents.read_file(file)
         if isinstance(value, Invalid):
             problems += value.problems
         else:
             values[str(file)] = value
-    return Invalid(tuple(problems)) if problems else merge(values)
+    return Invalid(tuple(problems)) if problems else merge_files(values)
 
 
 def parse(value: object, name: str) -> Catalog | Invalid:
     """Return the declarations in one value."""
-    return merge({name: value})
+    return merge_files({name: value})
 
 
-def merge(values: dict[str, object]) -> Catalog | Invalid:
+def merge_files(values: dict[str, object]) -> Catalog | Invalid:
     """Return the declarations of several files as one catalog."""
-    schema = documents.schema_of(SCHEMA)
+    schema = documents.load_schema(SCHEMA)
     problems = []
     for name, value in values.items():
-        problems += documents.check(value, schema, name)
+        problems += documents.check_against_schema(value, schema, name)
     if problems:
         return Invalid(tuple(problems))
-    checker = Checker()
+    checker = DeclarationChecker()
     for name, value in values.items():
-        checker.add(name, value)
-    return checker.finish()
+        checker.add_file(name, value)
+    return checker.build_catalog()
 
 
-class Checker:
+class DeclarationChecker:
     """Collects declarations of several files and checks their references."""
 
     def __init__(self):
         self.problems: list[Problem] = []
         self.zones: list[str] = []
-        self.named = {section: {} for section in SECTIONS}
-        self.places: dict[tuple[str, str], str] = {}
+        self.by_name = {section: {} for section in SECTIONS}
+        self.locations: dict[tuple[str, str], str] = {}
 
-    def add(self, name: str, value: dict) -> None:
+    def add_file(self, name: str, value: dict) -> None:
         """Take the declarations of one file."""
         for zone in value.get("zones", []):
             if zone in self.zones:
-                self.complain(f"{name}: zones", f"{zone!r} stands twice", "drop one")
+                self.add_problem(f"{name}: zones", f"{zone!r} stands twice", "drop one")
             self.zones.append(zone)
         for section in SECTIONS:
             for number, item in enumerate(value.get(section, [])):
@@ -101,26 +101,26 @@
     def add_item(self, section: str, item: dict, where: str) -> None:
         """Take one named declaration."""
         key = (section, item["name"])
-        if key in self.places:
-            what = f"the name {item['name']!r} is taken by {self.places[key]}"
-            self.complain(f"{where}.name", what, "choose another name")
+        if key in self.locations:
+            what = f"the name {item['name']!r} is taken by {self.locations[key]}"
+            self.add_problem(f"{where}.name", what, "choose another name")
             return
-        self.places[key] = where
-        self.named[section][item["name"]] = item
+        self.locations[key] = where
+        self.by_name[section][item["name"]] = item
 
-    def complain(self, where: str, what: str, mend: str) -> None:
+    def add_problem(self, where: str, what: str, mend: str) -> None:
         """Note a problem."""
         self.problems.append(Problem(where, what, mend))
 
-    def refer(self, section, name, where) -> bool:
+    def check_reference(self, section, name, where) -> bool:
         """Check that a name is declared."""
-        if name in self.named[section]:
+        if name in self.by_name[section]:
             return True
-        known = ", ".join(self.named[section]) or "none is declared"
-        self.complain(where, f"no such {section[:-1]}: {name!r}", f"known: {known}")
+        known = ", ".join(self.by_name[section]) or "none is declared"
+        self.add_problem(where, f"no such {section[:-1]}: {name!r}", f"known: {known}")
         return False
 
-    def finish(self) -> Catalog | Invalid:
+    def build_catalog(self) -> Catalog | Invalid:
         """Check all references; return the catalog."""
         self.check_pools()
         workspaces = self.check_workspaces()
@@ -128,7 +128,7 @@
         self.check_trainers()
         if self.problems:
             return Invalid(tuple(self.problems))
-        named = self.named
+        named = self.by_name
         source = {"zones": self.zones}
         source |= {section: list(named[section].values()) for section in SECTIONS}
         return Catalog(
@@ -144,47 +144,49 @@
 
     def check_pools(self) -> None:
         """Check the zones of the pools."""
-        for name, pool in self.named["pools"].items():
-            where = self.places["pools", name]
+        for name, pool in self.by_name["pools"].items():
+            where = self.locations["pools", name]
             for zone in pool.get("zones", []):
                 if zone not in self.zones:
                     known = ", ".join(self.zones) or "none is declared"
                     what = f"no such zone: {zone!r}"
-                    self.complain(f"{where}.zones", what, f"known: {known}")
+                    self.add_problem(f"{where}.zones", what, f"known: {known}")
 
     def check_workspaces(self) -> dict[str, Parameters]:
         """Check templates and workspaces; return the effective parameters."""
-        for name, template in self.named["templates"].items():
-            self.check_parameters(template, self.places["templates", name])
-            self.chain(name, f"{self.places['templates', name]}.extends")
+        for name, template in self.by_name["templates"].items():
+            self.check_parameters(template, self.locations["templates", name])
+            self.template_chain(name, f"{self.locations['templates', name]}.extends")
         effective = {}
-        for name, workspace in self.named["workspaces"].items():
-            where = self.places["workspaces", name]
+        for name, workspace in self.by_name["workspaces"].items():
+            where = self.locations["workspaces", name]
             self.check_parameters(workspace, where)
-            if not self.refer("templates", workspace["template"], f"{where}.template"):
+            if not self.check_reference(
+                "templates", workspace["template"], f"{where}.template"
+            ):
                 continue
             merged = {}
-            for template in reversed(self.chain(workspace["template"], None)):
+            for template in reversed(self.template_chain(workspace["template"], None)):
                 merged |= template.get("parameters", {})
             merged |= workspace.get("parameters", {})
             effective[name] = documents.build(merged, Parameters)
         return effective
 
-    def chain(self, name: str, where: str | None) -> list[dict]:
+    def template_chain(self, name: str, where: str | None) -> list[dict]:
         """Return a template and those it extends; complains where told a place."""
         seen, found = [], []
         while name:
             if name in seen:
                 if where:
                     path = " -> ".join([*seen, name])
-                    self.complain(where, f"a cycle: {path}", "break it")
+                    self.add_problem(where, f"a cycle: {path}", "break it")
                 break
-            if name not in self.named["templates"]:
+            if name not in self.by_name["templates"]:
                 if where and len(seen) == 1:
-                    self.refer("templates", name, where)
+                    self.check_reference("templates", name, where)
                 break
             seen.append(name)
-            found.append(self.named["templates"][name])
+            found.append(self.by_name["templates"][name])
             name = found[-1].get("extends", "")
         return found
 
@@ -193,21 +195,23 @@
         parameters = item.get("parameters", {})
         pool = parameters.get("model_pool")
         if pool:
-            self.refer("pools", pool, f"{where}.parameters.model_pool")
+            self.check_reference("pools", pool, f"{where}.parameters.model_pool")
         for service, pool in parameters.get("services", {}).items():
-            self.refer("pools", pool, f"{where}.parameters.services.{service}")
+            self.check_reference(
+                "pools", pool, f"{where}.parameters.services.{service}"
+            )
 
     def check_keys(self) -> Workspaces:
         """Check the workspaces of the keys; return them with their digests."""
         digests: dict[str, set[str]] = {}
         names: dict[str, str] = {}
-        for name, key in self.named["keys"].items():
-            where = self.places["keys", name]
-            self.refer("workspaces", key["workspace"], f"{where}.workspace")
+        for name, key in self.by_name["keys"].items():
+            where = self.locations["keys", name]
+            self.check_reference("workspaces", key["workspace"], f"{where}.workspace")
             other = names.setdefault(key["digest"], name)
             if other != name:
                 what = f"the key is that of {other!r}"
-                self.complain(f"{where}.digest", what, "make another one")
+                self.add_problem(f"{where}.digest", what, "make another one")
             digests.setdefault(key["workspace"], set()).add(key["digest"])
         return Workspaces(
             Workspace(name, frozenset(found)) for name, found in digests.items()
@@ -215,11 +219,13 @@
 
     def check_trainers(self) -> None:
         """Check the workspaces and pools of the trainers."""
-        for name, trainer in self.named["trainers"].items():
-            where = self.places["trainers", name]
-            self.refer("workspaces", trainer["workspace"], f"{where}.workspace")
-            if not self.refer("pools", trainer["pool"], f"{where}.pool"):
+        for name, trainer in self.by_name["trainers"].items():
+            where = self.locations["trainers", name]
+            self.check_reference(
+                "workspaces", trainer["workspace"], f"{where}.workspace"
+            )
+            if not self.check_reference("pools", trainer["pool"], f"{where}.pool"):
                 continue
-            if self.named["pools"][trainer["pool"]]["kind"] != "model":
+            if self.by_name["pools"][trainer["pool"]]["kind"] != "model":
                 what = f"the pool {trainer['pool']!r} serves no model"
-                self.complain(f"{where}.pool", what, "name a pool of kind model")
+                self.add_problem(f"{where}.pool", what, "name a pool of kind model")
--- a/gypsumshift/documents.py
+++ b/gypsumshift/documents.py
@@ -11,19 +11,19 @@
 
 from gypsumshift.outcomes import Invalid, Problem
 
-__all__ = ["build", "check", "parse", "read", "schema_of"]
+__all__ = ["build", "check_against_schema", "parse", "read_file", "load_schema"]
 
-PLACE = re.compile(r"^(?:<string>|[^:]*):(\d+)\s*(.*)$", re.DOTALL)
-SHOWN_LENGTH = 60
+PARSER_MESSAGE = re.compile(r"^(?:<string>|[^:]*):(\d+)\s*(.*)$", re.DOTALL)
+MAX_SHOWN_VALUE = 60
 
 
-def schema_of(name: str) -> dict:
+def load_schema(name: str) -> dict:
     """Return the JSON Schema of that file name."""
     folder = importlib.resources.files("gypsumshift.generated")
     return json.loads((folder / name).read_text())
 
 
-def read(path: pathlib.Path) -> object | Invalid:
+def read_file(path: pathlib.Path) -> object | Invalid:
     """Return the value in a file of JSON with comments."""
     try:
         text = path.read_text(encoding="utf-8")
@@ -52,10 +52,10 @@
 
 def syntax_problem(message: str, text: str, name: str) -> Problem:
     """Return the problem that a parser's message describes."""
-    found = PLACE.match(message)
+    found = PARSER_MESSAGE.match(message)
     where = f"{name}:{found[1]}" if found else name
     what = " ".join((found[2] if found else message).split())
-    if unclosed_comment(text):
+    if has_unclosed_comment(text):
         line = text[: text.rindex("/*")].count("\n") + 1
         return Problem(f"{name}:{line}", "a comment is not closed", "end it with */")
     mend = "write JSON; comments with // or /* */ are allowed"
@@ -64,13 +64,13 @@
     return Problem(where, what, mend)
 
 
-def unclosed_comment(text: str) -> bool:
+def has_unclosed_comment(text: str) -> bool:
     """Tell whether the last comment of a text lacks its end."""
     start = text.rfind("/*")
     return start >= 0 and "*/" not in text[start:]
 
 
-def check(value: object, schema: dict, name: str) -> list[Problem]:
+def check_against_schema(value: object, schema: dict, name: str) -> list[Problem]:
     """Return what a JSON Schema finds wrong with a value."""
     validator = jsonschema.Draft202012Validator(
         schema, format_checker=jsonschema.Draft202012Validator.FORMAT_CHECKER
@@ -92,8 +92,8 @@
     if error.validator == "required":
         return Problem(where, error.message, "add it")
     what = error.message
-    if len(what) > 2 * SHOWN_LENGTH:
-        what = f"{str(error.instance)[:SHOWN_LENGTH]}… breaks {error.validator!r}"
+    if len(what) > 2 * MAX_SHOWN_VALUE:
+        what = f"{str(error.instance)[:MAX_SHOWN_VALUE]}… breaks {error.validator!r}"
     return Problem(where, what, f"expected: {mend[0].lower()}{mend[1:]}")
 
 
--- a/gypsumshift/entry.py
+++ b/gypsumshift/entry.py
@@ -7,7 +7,7 @@
 from gypsumshift.generated.messages import Role
 from gypsumshift.httpserver import HttpServer, Request, Response, problem_response
 from gypsumshift.membership import rendezvous_weight
-from gypsumshift.operators import Operators
+from gypsumshift.operatorapi import OperatorApi
 from gypsumshift.process import Process
 from gypsumshift.trainerapi import TrainerApi
 from gypsumshift.trainerdriver import DriverManager
@@ -37,7 +37,7 @@
         self.caller_api = CallerApi(self, self.dispatcher)
         self.driver_manager = DriverManager(self, self.dispatcher)
         self.trainer_api = TrainerApi(self, self.driver_manager)
-        self.operator_api = Operators(self)
+        self.operator_api = OperatorApi(self)
         self.caller_server = HttpServer(self.serve_caller)
         self.caller_address = ("", 0)
 
@@ -59,7 +59,7 @@
         if self.member.leaving:
             return
         self.member.leaving = True
-        self.recorder.note("leaving", self.member.name)
+        self.recorder.record("leaving", self.member.name)
         log.info("Leaves; finishes what runs.")
         self.heartbeats.wake.set()
         await self.driver_manager.release_leases()
--- a/gypsumshift/events.py
+++ b/gypsumshift/events.py
@@ -11,10 +11,10 @@
 from gypsumshift.clock import Clock
 from gypsumshift.generated import messages
 
-__all__ = ["HybridClock", "Recorder", "Timestamp", "merged"]
+__all__ = ["HybridClock", "EventRecorder", "Timestamp", "merge_events"]
 
-RING_LENGTH = 4096
-DETAIL_LENGTH = 200
+MAX_EVENTS = 4096
+MAX_DETAIL_LENGTH = 200
 
 
 @attrs.frozen(order=True)
@@ -64,7 +64,7 @@
         return self.last
 
 
-class Recorder:
+class EventRecorder:
     """Bounded ring of the events of one process, and its traffic with peers.
 
     Parameters
@@ -78,10 +78,10 @@
     def __init__(self, process: str, clock: Clock):
         self.process = process
         self.hybrid = HybridClock(clock)
-        self.ring = collections.deque(maxlen=RING_LENGTH)
+        self.ring = collections.deque(maxlen=MAX_EVENTS)
         self.bytes_sent = self.bytes_received = 0
 
-    def note(self, kind: str, subject: str, detail: str = "") -> None:
+    def record(self, kind: str, subject: str, detail: str = "") -> None:
         """Record that ``kind`` happened to ``subject``."""
         stamp = self.hybrid.tick()
         event = messages.Event(
@@ -90,22 +90,22 @@
             self.process,
             kind,
             subject,
-            detail[:DETAIL_LENGTH],
+            detail[:MAX_DETAIL_LENGTH],
         )
         self.ring.append(event)
 
-    def select(self, subject: str, limit: int) -> list[messages.Event]:
+    def latest_events(self, subject: str, limit: int) -> list[messages.Event]:
         """Return the latest events that name ``subject``; all where it is empty."""
-        chosen = [event for event in self.ring if matches(event, subject)]
+        chosen = [event for event in self.ring if names_subject(event, subject)]
         return chosen[-limit:]
 
 
-def matches(event: messages.Event, subject: str) -> bool:
+def names_subject(event: messages.Event, subject: str) -> bool:
     """Tell whether an event is about ``subject``."""
     return not subject or subject in event.subject or subject in event.detail
 
 
-def merged(events: list[messages.Event]) -> list[messages.Event]:
+def merge_events(events: list[messages.Event]) -> list[messages.Event]:
     """Return the events of several processes in one order, each once."""
     unique = {(e.process, e.time_us, e.tick): e for e in events}
     return sorted(unique.values(), key=lambda e: (e.time_us, e.tick, e.process))
--- a/gypsumshift/frames.py
+++ b/gypsumshift/frames.py
@@ -8,7 +8,7 @@
 from thrift.Thrift import TException
 from thrift.transport.TTransport import TMemoryBuffer, TTransportBase
 
-from gypsumshift.events import Recorder, Timestamp
+from gypsumshift.events import EventRecorder, Timestamp
 from gypsumshift.generated.messages import Body, Frame
 
 __all__ = ["FrameError", "FrameStream", "decode_frame", "encode_frame"]
@@ -88,11 +88,11 @@
     ----------
     reader : asyncio.StreamReader
     writer : asyncio.StreamWriter
-    recorder : Recorder
+    recorder : EventRecorder
         Stamps what is sent, observes what comes, and counts both.
     """
 
-    def __init__(self, reader, writer, recorder: Recorder):
+    def __init__(self, reader, writer, recorder: EventRecorder):
         self.reader = reader
         self.writer = writer
         self.recorder = recorder
--- a/gypsumshift/keycommands.py
+++ b/gypsumshift/keycommands.py
@@ -8,7 +8,7 @@
 import typer
 
 from gypsumshift import keyfile
-from gypsumshift.face import EXIT_INVALID
+from gypsumshift.operatorclient import EXIT_INVALID
 from gypsumshift.outcomes import Invalid
 
 __all__ = ["keys_app"]
@@ -17,7 +17,7 @@
 Folder = Annotated[pathlib.Path, typer.Argument(help="Folder of declarations.")]
 
 
-def rejected(outcome: Invalid) -> typer.Exit:
+def exit_for_invalid(outcome: Invalid) -> typer.Exit:
     """Say what is wrong, a line each; return what ends the command."""
     for problem in outcome.problems:
         print(f"gypsumshift: {problem}", file=sys.stderr)
@@ -35,11 +35,13 @@
 def add(folder: Folder, workspace: str, name: str) -> None:
     """Make a key NAME of a workspace, and print it: it is shown this once."""
     check_folder(folder)
-    made = keyfile.add(folder, workspace, name)
+    made = keyfile.add_key(folder, workspace, name)
     if isinstance(made, Invalid):
-        raise rejected(made)
+        raise exit_for_invalid(made)
     print(made.text)
-    told = f"{folder / keyfile.NAME} holds its digest; 'gypsumshift apply' to use it"
+    told = (
+        f"{folder / keyfile.KEY_FILE} holds its digest; 'gypsumshift apply' to use it"
+    )
     print(told, file=sys.stderr)
 
 
@@ -47,9 +49,9 @@
 def remove(folder: Folder, name: str) -> None:
     """Take the key NAME away."""
     check_folder(folder)
-    outcome = keyfile.remove(folder, name)
+    outcome = keyfile.remove_key(folder, name)
     if isinstance(outcome, Invalid):
-        raise rejected(outcome)
+        raise exit_for_invalid(outcome)
     print(f"{name} is taken away once 'gypsumshift apply' has put that in force")
 
 
@@ -60,9 +62,9 @@
 ) -> None:
     """Show the keys of a folder by name, workspace and digest."""
     check_folder(folder)
-    keys = keyfile.listed(folder)
+    keys = keyfile.list_keys(folder)
     if isinstance(keys, Invalid):
-        raise rejected(keys)
+        raise exit_for_invalid(keys)
     if as_json:
         print(json.dumps(keys, indent=2))
         return
--- a/gypsumshift/operators.py
+++ b/gypsumshift/operatorapi.py
@@ -1,4 +1,4 @@
-"""Operators: the HTTP face for declarations, status, drains and the time line."""
+"""HTTP API for operators: declarations, status, drains, weights and time line."""
 
 import asyncio
 import hmac
@@ -9,7 +9,7 @@
 
 from gypsumshift import declarations
 from gypsumshift.bearer import bearer_token, unauthorized
-from gypsumshift.events import merged
+from gypsumshift.events import merge_events
 from gypsumshift.generated import messages
 from gypsumshift.generated.messages import Body, Role
 from gypsumshift.httpserver import Request, Response, json_response, problem_response
@@ -29,16 +29,16 @@
 from gypsumshift.settings import operator_token
 from gypsumshift.weightpublisher import WeightPublisher
 
-__all__ = ["Operators", "difference"]
+__all__ = ["OperatorApi", "diff_declarations"]
 
-ASK_TIMEOUT = 2.0
-ASK_AT_ONCE = 64
-EVENTS_LIMIT = 500
+QUERY_TIMEOUT_S = 2.0
+CONCURRENT_QUERIES = 64
+MAX_EVENTS = 500
 DRAIN_DEADLINE_MS = 30_000
 OPEN_PATHS = ("/metrics", "/health")
 
 
-def difference(old: dict, new: dict) -> list[str]:
+def diff_declarations(old: dict, new: dict) -> list[str]:
     """Return what changes from one revision's declarations to another's, line by line.
 
     Lines begin with ``+`` (new), ``-`` (gone) or ``~`` (changed, with the fields).
@@ -78,7 +78,7 @@
     return lines
 
 
-class Operators:
+class OperatorApi:
     """Answers operators; any entry can.
 
     Parameters
@@ -95,7 +95,7 @@
 
     async def serve(self, request: Request) -> Response | None:
         """Answer one request; None where the path is none of ours."""
-        if request.path not in OPEN_PATHS and not self.authorized(request):
+        if request.path not in OPEN_PATHS and not self.is_authorized(request):
             detail = "this address asks for a bearer token"
             return unauthorized(detail)
         method, path = request.method, request.path
@@ -116,7 +116,7 @@
             return await self.revision(path.rpartition("/")[2])
         return None
 
-    def authorized(self, request: Request) -> bool:
+    def is_authorized(self, request: Request) -> bool:
         """Tell whether a request carries the token that the settings ask for."""
         if not self.token:
             return True
@@ -128,7 +128,7 @@
         """List all accepted revisions, without their declarations."""
         found = await self.revision_history.read_all()
         if isinstance(found, Unavailable):
-            return platform_down(found)
+            return platform_error_response(found)
         rows = [attrs.asdict(accepted) for accepted in found]
         for row in rows:
             del row["declarations"], row["token"]
@@ -142,17 +142,17 @@
             else text
         )
         if isinstance(number, Unavailable):
-            return platform_down(number)
+            return platform_error_response(number)
         if not str(number).isdigit():
             return problem_response(400, "not run", f"not a revision number: {text!r}")
         found = await self.revision_history.read_revision(int(number))
         if isinstance(found, Unavailable):
-            return platform_down(found)
+            return platform_error_response(found)
         if isinstance(found, Missing):
             return problem_response(404, "not run", f"there is no revision {number}")
         return json_response(200, attrs.asdict(found))
 
-    async def newest(self) -> AcceptedRevision | Unavailable:
+    async def read_newest(self) -> AcceptedRevision | Unavailable:
         """Return the newest accepted revision."""
         number = await self.revision_history.read_newest_number()
         if isinstance(number, Unavailable):
@@ -177,11 +177,11 @@
             return value
         catalog = declarations.parse(value["declarations"], "declarations")
         if isinstance(catalog, Invalid):
-            return invalid(catalog)
-        newest = await self.newest()
+            return invalid_response(catalog)
+        newest = await self.read_newest()
         if isinstance(newest, Unavailable):
-            return platform_down(newest)
-        lines = difference(newest.declarations, catalog.source)
+            return platform_error_response(newest)
+        lines = diff_declarations(newest.declarations, catalog.source)
         return json_response(200, {"base": newest.number, "difference": lines})
 
     async def apply(self, request: Request) -> Response:
@@ -196,7 +196,7 @@
             )
         catalog = declarations.parse(value["declarations"], "declarations")
         if isinstance(catalog, Invalid):
-            return invalid(catalog)
+            return invalid_response(catalog)
         outcome = await self.revision_history.apply(
             base,
             catalog.source,
@@ -207,37 +207,37 @@
         if isinstance(outcome, AcceptedRevision):
             text = json.dumps(outcome.declarations)
             subject = f"revision-{outcome.number}"
-            self.process.recorder.note("accepted", subject, outcome.author)
+            self.process.recorder.record("accepted", subject, outcome.author)
             self.process.adopt_revision(outcome.number, text)
             return json_response(200, {"number": outcome.number})
         if isinstance(outcome, Conflict):
             return await self.conflict(base, outcome)
         if isinstance(outcome, Unknown):
             return problem_response(504, "unknown", outcome.reason, retry_after=1.0)
-        return platform_down(outcome)
+        return platform_error_response(outcome)
 
     async def conflict(self, base: int, outcome: Conflict) -> Response:
         """Answer an apply that another operator's overtook, with that change."""
         old, new = await asyncio.gather(
-            self.revision_history.read_revision(base), self.newest()
+            self.revision_history.read_revision(base), self.read_newest()
         )
         lines = []
         if isinstance(old, AcceptedRevision) and isinstance(new, AcceptedRevision):
-            lines = difference(old.declarations, new.declarations)
+            lines = diff_declarations(old.declarations, new.declarations)
         detail = f"planned on revision {base}, but {outcome.detail}"
         return problem_response(409, "not run", detail, difference=lines)
 
     # Processes
 
-    async def ask_everyone(self, question: Body) -> dict[str, Body | None]:
+    async def query_all_processes(self, question: Body) -> dict[str, Body | None]:
         """Ask all known processes; None for those that do not answer."""
-        slots = asyncio.Semaphore(ASK_AT_ONCE)
+        slots = asyncio.Semaphore(CONCURRENT_QUERIES)
 
         async def ask(known) -> Body | None:
             async with slots:
                 try:
                     link = self.process.connection(known.address)
-                    return await link.call(question, ASK_TIMEOUT)
+                    return await link.call(question, QUERY_TIMEOUT_S)
                 except PeerConnectionError:
                     return None
 
@@ -247,28 +247,30 @@
 
     async def status(self, request: Request) -> Response:
         """Show all known processes and what each has in force."""
-        answers = await self.ask_everyone(Body(pull_status=messages.PullStatus()))
+        answers = await self.query_all_processes(
+            Body(pull_status=messages.PullStatus())
+        )
         rows = [status_row(self.process.status())]
         for name, answer in answers.items():
             if answer is not None and answer.status is not None:
                 rows.append(status_row(answer.status))
             else:
                 member = self.process.membership.peers[name].member
-                rows.append(silent_row(member))
+                rows.append(member_row(member))
         rows.sort(key=lambda row: (row["role"], row["name"]))
         return json_response(200, rows)
 
     async def timeline(self, request: Request) -> Response:
         """Show the events of all processes about one subject, in one order."""
         subject = request.parameter("subject")
-        question = Body(pull_events=messages.PullEvents(subject, EVENTS_LIMIT))
-        answers = await self.ask_everyone(question)
-        events = self.process.recorder.select(subject, EVENTS_LIMIT)
+        question = Body(pull_events=messages.PullEvents(subject, MAX_EVENTS))
+        answers = await self.query_all_processes(question)
+        events = self.process.recorder.latest_events(subject, MAX_EVENTS)
         for answer in answers.values():
             if answer is not None and answer.events is not None:
                 events = events + answer.events.events
         silent = [name for name, answer in answers.items() if answer is None]
-        rows = [event_row(event) for event in merged(events)[-EVENTS_LIMIT:]]
+        rows = [event_row(event) for event in merge_events(events)[-MAX_EVENTS:]]
         return json_response(200, {"events": rows, "silent": silent})
 
     async def drain(self, request: Request) -> Response:
@@ -288,13 +290,15 @@
                 write = Write(HEADS_TABLE, key, {"leaving": True})
                 outcome = await self.tables.commit([write])
                 if not isinstance(outcome, Committed):
-                    return platform_down(outcome)
+                    return platform_error_response(outcome)
         order = Body(drain=messages.Drain(DRAIN_DEADLINE_MS))
         told = []
         for known in chosen:
             known.member.leaving = True
             try:
-                await self.process.connection(known.address).call(order, ASK_TIMEOUT)
+                await self.process.connection(known.address).call(
+                    order, QUERY_TIMEOUT_S
+                )
                 told.append(known.member.name)
             except PeerConnectionError:
                 continue
@@ -305,14 +309,14 @@
         name = request.parameter("name")
         outcome = await self.tables.commit([Write(HEADS_TABLE, LEAVING_PREFIX + name)])
         if not isinstance(outcome, Committed):
-            return platform_down(outcome)
+            return platform_error_response(outcome)
         return json_response(200, {"undone": name})
 
     async def weights(self, request: Request) -> Response:
         """Show the newest version of each pool, and which backend server has what."""
         rows = await self.tables.scan(HEADS_TABLE, WEIGHTS_PREFIX)
         if isinstance(rows, Unavailable):
-            return platform_down(rows)
+            return platform_error_response(rows)
         pools = {}
         for row in rows:
             pool = row.key.removeprefix(WEIGHTS_PREFIX)
@@ -337,19 +341,19 @@
             pool, int(version), request.body, "operator"
         )
         if not isinstance(outcome, Committed):
-            return platform_down(outcome)
+            return platform_error_response(outcome)
         return json_response(200, {"pool": pool, "version": int(version)})
 
 
 def status_row(status: messages.Status) -> dict:
     """Return one process's status as JSON."""
     member = status.member
-    row = silent_row(member) | {"answers": True, "revision": status.revision}
+    row = member_row(member) | {"answers": True, "revision": status.revision}
     row["figures"] = {figure.name: figure.value for figure in status.figures}
     return row
 
 
-def silent_row(member: messages.Member) -> dict:
+def member_row(member: messages.Member) -> dict:
     """Return what is known of a process that does not answer."""
     return {
         "name": member.name,
@@ -372,7 +376,7 @@
     return {name: getattr(event, name) for name in names}
 
 
-def platform_down(outcome) -> Response:
+def platform_error_response(outcome) -> Response:
     """Return the answer for a platform that cannot be asked."""
     reason = getattr(outcome, "reason", "") or "no reason given"
     if isinstance(outcome, Unknown):
@@ -381,7 +385,7 @@
     return problem_response(503, "not run", detail, retry_after=1.0)
 
 
-def invalid(outcome: Invalid) -> Response:
+def invalid_response(outcome: Invalid) -> Response:
     """Return the answer for rejected declarations."""
     problems = [str(each) for each in outcome.problems]
     detail = "the declarations were rejected; nothing was accepted"
--- a/gypsumshift/face.py
+++ b/gypsumshift/operatorclient.py
@@ -1,4 +1,4 @@
-"""Face: how the command line asks an operator face, and ends where that fails."""
+"""Client of the operator API for the command line, and its exit statuses."""
 
 import asyncio
 import json
@@ -17,9 +17,9 @@
     "EXIT_LAGGING",
     "EXIT_UNAVAILABLE",
     "EXIT_UNKNOWN",
-    "Face",
+    "OperatorClient",
     "fail",
-    "refuse",
+    "fail_with_problem",
 ]
 
 EXIT_UNAVAILABLE = 1
@@ -28,11 +28,11 @@
 EXIT_UNKNOWN = 4
 EXIT_LAGGING = 5
 DEFAULT_OPERATOR = "http://127.0.0.1:8200"
-REQUEST_TIMEOUT = 30.0
+REQUEST_TIMEOUT_S = 30.0
 
 
 @attrs.define
-class Face:
+class OperatorClient:
     """The operator face that the commands speak to.
 
     Attributes
@@ -45,7 +45,7 @@
     url: str = DEFAULT_OPERATOR
     token: str = ""
 
-    def ask(
+    def send_request(
         self, method: str, target: str, value=None, body: bytes = b""
     ) -> FetchedResponse:
         """Send one request; ends the command where nobody answers."""
@@ -56,18 +56,20 @@
             headers.append(("authorization", f"Bearer {self.token}"))
         if value is not None:
             body = json.dumps(value).encode()
-        fetch = Fetcher().fetch(address, method, target, headers, body, REQUEST_TIMEOUT)
+        fetch = Fetcher().fetch(
+            address, method, target, headers, body, REQUEST_TIMEOUT_S
+        )
         try:
             return asyncio.run(fetch)
         except FetchError as error:
             hint = "name an entry's operator address with --operator"
             fail(f"{self.url}: {error}; {hint}", EXIT_UNAVAILABLE)
 
-    def get(self, target: str):
+    def get_json(self, target: str):
         """Return the JSON value at a target; ends the command where refused."""
-        answer = self.ask("GET", target)
+        answer = self.send_request("GET", target)
         if answer.status != 200:
-            refuse(answer)
+            fail_with_problem(answer)
         return json.loads(answer.body)
 
 
@@ -77,7 +79,7 @@
     raise typer.Exit(status)
 
 
-def refuse(answer: FetchedResponse):
+def fail_with_problem(answer: FetchedResponse):
     """End the command as a problem document says."""
     try:
         value = json.loads(answer.body)
--- a/gypsumshift/peerconnection.py
+++ b/gypsumshift/peerconnection.py
@@ -4,7 +4,7 @@
 import itertools
 
 from gypsumshift import logs
-from gypsumshift.events import Recorder
+from gypsumshift.events import EventRecorder
 from gypsumshift.frames import FrameError, FrameStream
 from gypsumshift.generated.messages import Body
 from gypsumshift.listeners import close_listener
@@ -66,10 +66,10 @@
     ----------
     address : (str, int)
         IP number and port.
-    recorder : Recorder
+    recorder : EventRecorder
     """
 
-    def __init__(self, address: tuple[str, int], recorder: Recorder):
+    def __init__(self, address: tuple[str, int], recorder: EventRecorder):
         self.address = address
         self.recorder = recorder
         self.stream: FrameStream | None = None
@@ -200,10 +200,10 @@
         ``await handler(session, exchange, body)``; must not block for long.
     ended : callable
         ``ended(session)`` when a connection ended.
-    recorder : Recorder
+    recorder : EventRecorder
     """
 
-    def __init__(self, handler, ended, recorder: Recorder):
+    def __init__(self, handler, ended, recorder: EventRecorder):
         self.handler = handler
         self.on_session_end = ended
         self.recorder = recorder
--- a/gypsumshift/process.py
+++ b/gypsumshift/process.py
@@ -11,7 +11,7 @@
 from gypsumshift import logs, platforms
 from gypsumshift.addresses import parse_address
 from gypsumshift.clock import Clock, SystemClock
-from gypsumshift.events import Recorder
+from gypsumshift.events import EventRecorder
 from gypsumshift.generated import messages
 from gypsumshift.generated.messages import Body, Member, Role
 from gypsumshift.generated.settings import Settings
@@ -61,7 +61,7 @@
         self.settings = settings
         self.clock = clock or SystemClock()
         self.platform = platform or platforms.connect(settings.platform)
-        self.recorder = Recorder(settings.name, self.clock)
+        self.recorder = EventRecorder(settings.name, self.clock)
         self.metrics = Metrics(settings.name, self.read_gauges)
         self.revision_history = RevisionHistory(self.platform.tables, self.clock)
         self.active_revision = ActiveRevision(self.recorder)
@@ -178,7 +178,7 @@
         """Take the newest published weight version of a pool."""
         if version > self.target_versions.get(pool, 0):
             self.target_versions[pool] = version
-            self.recorder.note("published", f"{pool}@{version}", "known here")
+            self.recorder.record("published", f"{pool}@{version}", "known here")
             self.heartbeats.broadcast()
             self.target_version_changed()
 
@@ -215,7 +215,7 @@
             answer = Body(revision=messages.Revision(number, self.active_revision.text))
         elif body.pull_events is not None:
             pull = body.pull_events
-            events = self.recorder.select(pull.subject, pull.limit)
+            events = self.recorder.latest_events(pull.subject, pull.limit)
             answer = Body(events=messages.Events(events))
         elif body.pull_status is not None:
             answer = Body(status=self.status())
--- a/gypsumshift/revisions.py
+++ b/gypsumshift/revisions.py
@@ -8,7 +8,7 @@
 from gypsumshift import declarations, logs
 from gypsumshift.clock import Clock
 from gypsumshift.declarations import Catalog
-from gypsumshift.events import Recorder
+from gypsumshift.events import EventRecorder
 from gypsumshift.outcomes import (
     Committed,
     Conflict,
@@ -169,10 +169,10 @@
 
     Parameters
     ----------
-    recorder : Recorder
+    recorder : EventRecorder
     """
 
-    def __init__(self, recorder: Recorder):
+    def __init__(self, recorder: EventRecorder):
         self.recorder = recorder
         self.number = -1
         self.text = ""
@@ -192,7 +192,7 @@
         if catalog is None:
             return False
         self.number, self.text, self.catalog = number, text, catalog
-        self.recorder.note("revision", f"revision-{number}", "in force")
+        self.recorder.record("revision", f"revision-{number}", "in force")
         log.info("Revision {} is in force.", number)
         self.changed.set()
         self.changed = asyncio.Event()
--- a/gypsumshift/settings.py
+++ b/gypsumshift/settings.py
@@ -10,16 +10,18 @@
 __all__ = ["Settings", "load", "operator_token"]
 
 SCHEMA = "settings.schema.json"
-TOKEN_VARIABLE = "GYPSUMSHIFT_OPERATOR_TOKEN"
-SIDECAR_NEEDS = ("pool", "backend", "backend_url")
+OPERATOR_TOKEN_VARIABLE = "GYPSUMSHIFT_OPERATOR_TOKEN"
+SIDECAR_REQUIRED_FIELDS = ("pool", "backend", "backend_url")
 
 
 def load(path: pathlib.Path) -> Settings | Invalid:
     """Return the settings in a file, or all that is wrong with it."""
-    value = documents.read(path)
+    value = documents.read_file(path)
     if isinstance(value, Invalid):
         return value
-    problems = documents.check(value, documents.schema_of(SCHEMA), str(path))
+    problems = documents.check_against_schema(
+        value, documents.load_schema(SCHEMA), str(path)
+    )
     if problems:
         return Invalid(tuple(problems))
     settings = documents.build(value, Settings)
@@ -31,7 +33,7 @@
     """Return what is wrong between the fields."""
     problems = []
     if settings.role == "sidecar":
-        for field in SIDECAR_NEEDS:
+        for field in SIDECAR_REQUIRED_FIELDS:
             if not getattr(settings, field):
                 what = "a sidecar needs it"
                 problems.append(Problem(f"{name}: {field}", what, f"set {field}"))
@@ -53,4 +55,4 @@
     """Return the operators' bearer token; empty where none is asked for."""
     if settings.operator_token_file:
         return pathlib.Path(settings.operator_token_file).read_text().strip()
-    return os.environ.get(TOKEN_VARIABLE, "")
+    return os.environ.get(OPERATOR_TOKEN_VARIABLE, "")
--- a/gypsumshift/sidecar.py
+++ b/gypsumshift/sidecar.py
@@ -119,7 +119,7 @@
     async def acquire_fence(self) -> None:
         """Take the fencing number, and learn whether operators drain this one."""
         self.member.fence = await self.fence.acquire()
-        self.recorder.note("fence", self.settings.backend, str(self.member.fence))
+        self.recorder.record("fence", self.settings.backend, str(self.member.fence))
         key = LEAVING_PREFIX + self.settings.backend
         row = await self.platform.tables.read(HEADS_TABLE, key)
         if not isinstance(row, (Missing, Unavailable)):
@@ -136,7 +136,7 @@
         """Take no new work from now on."""
         if not self.member.leaving:
             self.member.leaving = True
-            self.recorder.note("leaving", self.settings.backend, reason)
+            self.recorder.record("leaving", self.settings.backend, reason)
             log.info("Takes no new work: {}.", reason)
             self.heartbeats.wake.set()
 
--- a/gypsumshift/timeline.py
+++ b/gypsumshift/timeline.py
@@ -20,10 +20,10 @@
   }
 });
 """
-PALETTE = 12
+HUES = 12
 
 
-def moment(event: dict) -> str:
+def format_time(event: dict) -> str:
     """Return an event's time of day, UTC, with its tick where it has one."""
     time = datetime.datetime.fromtimestamp(event["time_us"] / 1e6, datetime.UTC)
     tick = f"+{event['tick']}" if event["tick"] else ""
@@ -37,17 +37,20 @@
     for event in events:
         process, kind = event["process"].ljust(width), event["kind"].ljust(12)
         what = f"{event['subject']} {event['detail']}".rstrip()
-        lines.append(f"{moment(event)}  {process}  {kind} {what}")
+        lines.append(f"{format_time(event)}  {process}  {kind} {what}")
     return "\n".join(lines)
 
 
 def as_html(events: list[dict], subject: str) -> str:
     """Return a self-contained page with a row per event and a filter."""
     names = sorted({event["process"] for event in events})
-    hues = {name: index % PALETTE * 360 // PALETTE for index, name in enumerate(names)}
+    hues = {name: index % HUES * 360 // HUES for index, name in enumerate(names)}
     rows = []
     for event in events:
-        cells = [moment(event), *(event[k] for k in ("process", "kind", "subject"))]
+        cells = [
+            format_time(event),
+            *(event[k] for k in ("process", "kind", "subject")),
+        ]
         cells.append(event["detail"])
         colour = f"background: hsl({hues[event['process']]} 60% 94%)"
         inner = "".join(f"<td>{html.escape(cell)}</td>" for cell in cells)
--- a/gypsumshift/trainerapi.py
+++ b/gypsumshift/trainerapi.py
@@ -126,14 +126,14 @@
             value = json.loads(request.body)
         except ValueError as error:
             return problem_response(400, "not run", f"the body is not JSON: {error}")
-        problems = documents.check(value, GROUP_SCHEMA, "body")
+        problems = documents.check_against_schema(value, GROUP_SCHEMA, "body")
         if problems:
             return problem_response(422, "not run", str(problems[0]))
         groups = documents.build(value, list[Group])
         outcome = await TrainerStore(self.platform, trainer.name).accept_groups(groups)
         if isinstance(outcome, (Unavailable, Unknown)):
             return retry_response(outcome)
-        self.process.recorder.note("groups", trainer.name, f"{outcome} accepted")
+        self.process.recorder.record("groups", trainer.name, f"{outcome} accepted")
         return json_response(202, {"accepted": outcome, "known": len(groups) - outcome})
 
     async def pull_step(
@@ -177,7 +177,7 @@
             )
             if isinstance(sealed, Step) and sealed.number == number:
                 subject = f"{trainer.name}/{number}"
-                self.process.recorder.note("sealed", subject, f"for {sealed.version}")
+                self.process.recorder.record("sealed", subject, f"for {sealed.version}")
                 return sealed
             if isinstance(sealed, Step) and sealed.number > number:
                 return Missing()
@@ -204,7 +204,7 @@
         self.idle_seconds[trainer.name] = idle
         self.mean_staleness[trainer.name] = sum(lag) / len(lag)
         self.process.metrics.record_duration("trainer_idle", idle, trainer=trainer.name)
-        self.process.recorder.note("delivered", f"{trainer.name}/{step.number}")
+        self.process.recorder.record("delivered", f"{trainer.name}/{step.number}")
         self.process.spawn(ledger.remove_old_step(step.number - 1))
         return json_response(
             200,
--- a/gypsumshift/trainerdriver.py
+++ b/gypsumshift/trainerdriver.py
@@ -203,7 +203,7 @@
             outcome = await self.store.finish_group(row, group, samples, name)
             if isinstance(outcome, (Committed, Conflict)):
                 subject = f"{self.name}/{group.id}"
-                self.process.recorder.note("group-ready", subject)
+                self.process.recorder.record("group-ready", subject)
                 self.set_ready_count(self.ready_count + 1)
                 return
             await self.clock.sleep(STORE_RETRY_S)
--- a/history/workload.py
+++ b/history/workload.py
@@ -116,7 +116,7 @@
         path = f"/services/booking{path}"
         if raw:
             headers = [*fields.items(), ("prefer", f"wait={CALL_TIMEOUT}")]
-            outcome = await client.once(method, path, headers, b"", CALL_TIMEOUT)
+            outcome = await client.call_once(method, path, headers, b"", CALL_TIMEOUT)
         else:
             outcome = await client.call(method, path, headers=fields)
         own = whole = True
@@ -138,7 +138,7 @@
         path = "/v1/completions"
         if raw:
             data = json.dumps(body).encode()
-            outcome = await client.once("POST", path, [], data, CALL_TIMEOUT)
+            outcome = await client.call_once("POST", path, [], data, CALL_TIMEOUT)
         else:
             outcome = await client.call("POST", path, body, key=name)
         own = whole = True
--- a/standins/story.py
+++ b/standins/story.py
@@ -86,7 +86,7 @@
         claim(isinstance(first, Answered) and first.status == 200, "it was answered")
         backend = first.header("gypsumshift-backend")
         print(f"      by {backend}, attempts {first.header('gypsumshift-attempts')}")
-        client.turn += 1
+        client.entry_index += 1
         again = await client.call("POST", path, {"client": 1}, **options)
         same = isinstance(again, Answered) and again.body == first.body
         claim(same, "the same key at the other entry got the same answer")
@@ -111,7 +111,7 @@
             began = time.monotonic()
             delivery = await pull
             idle = time.monotonic() - began + 0.25
-            trainer.client.turn += 1
+            trainer.client.entry_index += 1
             again = await trainer.step(number)
             claim(again == delivery, f"step {number}: the other entry gives the same")
             spans = [span for s in delivery.samples for span in s.spans]
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -4,7 +4,7 @@
 
 from gypsumshift import memory, platforms
 from gypsumshift.clock import Clock
-from gypsumshift.events import Recorder
+from gypsumshift.events import EventRecorder
 from gypsumshift.generated.messages import Load, Member, Role
 from gypsumshift.outcomes import Unavailable, Unknown
 
@@ -35,8 +35,8 @@
     def __init__(self):
         super().__init__()
         self.down = False
-        self.lose_next = 0
-        self.drop_next = 0
+        self.lost_answers = 0
+        self.lost_requests = 0
 
     async def read(self, table, key, part=""):
         if self.down:
@@ -51,12 +51,12 @@
     async def commit(self, writes):
         if self.down:
             return Unavailable("down")
-        if self.drop_next:
-            self.drop_next -= 1
+        if self.lost_requests:
+            self.lost_requests -= 1
             return Unknown("the request was lost")
         outcome = await super().commit(writes)
-        if self.lose_next:
-            self.lose_next -= 1
+        if self.lost_answers:
+            self.lost_answers -= 1
             return Unknown("the answer was lost")
         return outcome
 
@@ -72,7 +72,7 @@
 
 
 def recorder(clock=None):
-    return Recorder("test", clock or ManualClock())
+    return EventRecorder("test", clock or ManualClock())
 
 
 def member(name="sidecar-a", **changes):
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -26,7 +26,7 @@
 from gypsumshift.serving.authorization import Authorizer, Grant
 from gypsumshift.serving.quarantine import CRASH_LIMIT
 from gypsumshift.serving.streams import Stream
-from tests import own_time
+from tests import virtual_time
 from tests.crash_fakes import (
     EVENT_TIME_S,
     FakeExchange,
@@ -39,7 +39,7 @@
     run_for,
 )
 from tests.job_builders import HOST, METRICS, NAMES
-from tests.own_time import LoopClock
+from tests.virtual_time import LoopClock
 
 # Delays from the start of a fatal request to the crash of its server, from the crash to
 # the restart, from the restart to its entry in the gateways' directories, and from the
@@ -301,7 +301,7 @@
         finally:
             await world.close()
 
-    own_time.play(run)
+    virtual_time.run_in_virtual_time(run)
 
 
 async def crash_three_servers(world, names=("g0",), prefix="/safe/"):
--- a/tests/system.py
+++ b/tests/system.py
@@ -15,7 +15,7 @@
 from . import builders
 
 HOST = "127.0.0.1"
-PATIENCE = 20.0
+WAIT_TIMEOUT_S = 20.0
 SOURCE = {
     "zones": ["here", "there"],
     "pools": [
@@ -49,9 +49,9 @@
 }
 
 
-async def until(holds, what="the condition"):
+async def wait_until(holds, what="the condition"):
     """Wait until a condition holds; returns its value."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not (value := holds()):
             await asyncio.sleep(0.005)
         return value
@@ -63,8 +63,8 @@
     def __init__(self, port):
         self.target = port
         self.port = 0
-        self.cut_up = self.cut_down = None
-        self.dead = self.dies = False
+        self.cut_after_sent = self.cut_after_received = None
+        self.refuses = self.refuses_after_cut = False
         self.writers = set()
 
     async def start(self):
@@ -73,17 +73,17 @@
         return self
 
     async def accept(self, reader, writer):
-        if self.dead:
+        if self.refuses:
             writer.transport.abort()
             return
         inner_reader, inner_writer = await asyncio.open_connection(HOST, self.target)
         self.writers |= {writer, inner_writer}
         await asyncio.gather(
-            self.pump(reader, inner_writer, "cut_up"),
-            self.pump(inner_reader, writer, "cut_down"),
+            self.forward(reader, inner_writer, "cut_after_sent"),
+            self.forward(inner_reader, writer, "cut_after_received"),
         )
 
-    async def pump(self, reader, writer, limit_name):
+    async def forward(self, reader, writer, limit_name):
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(65536):
                 limit = getattr(self, limit_name)
@@ -103,11 +103,11 @@
         for writer in self.writers:
             writer.transport.abort() if not writer.is_closing() else None
         self.writers.clear()
-        self.dead |= self.dies
+        self.refuses |= self.refuses_after_cut
 
     def kill(self):
         """Cut all connections, now and later."""
-        self.dead = True
+        self.refuses = True
         self.cut()
 
 
@@ -144,7 +144,7 @@
             self.services.append(service)
             port = await service.server.listen(HOST, 0)
             await self.add_sidecar(f"shop-{number}", "shop", port)
-        await until(self.settled, "everybody knows everybody")
+        await wait_until(self.has_converged, "everybody knows everybody")
         return self
 
     async def __aexit__(self, *exc_info):
@@ -186,10 +186,10 @@
         await old.stop()
         port = old.backend.address[1]
         new = await self.add_sidecar(backend, old.settings.pool, port)
-        await until(self.settled)
+        await wait_until(self.has_converged)
         return new
 
-    def settled(self):
+    def has_converged(self):
         """Tell whether all entries know all sidecars, healthy and at one revision."""
         newest = max(entry.active_revision.number for entry in self.entries)
         for sidecar in self.sidecars.values():
@@ -204,7 +204,7 @@
                     return False
         return True
 
-    def runs(self):
+    def run_counts(self):
         """Return how often each request ran, over all services."""
         total = {}
         for service in self.services:
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -9,7 +9,7 @@
 from gypsumshift.jobs.records import AGENTS, END_KEY, JOBS, PARTIALS, RESULTS
 from gypsumshift.platforms import Row, Write
 from tests.job_builders import MODEL, FakeEngine, JobCluster, server
-from tests.system import until
+from tests.system import wait_until
 
 
 def scenario(test):
@@ -60,7 +60,7 @@
     engine.may_finish.clear()
     agent = world.agent("a", engine)
     await world.submit(groups=1)
-    await until(lambda: len(engine.running) == 2)
+    await wait_until(lambda: len(engine.running) == 2)
     return agent, engine
 
 
@@ -71,7 +71,7 @@
     again = Candidate(unit.job, unit.job.units[0], unit.claim_version, True)
     agent.runner.start_unit(again, unit.claim_version)
     await world.store.commit([Write(JOBS, END_KEY, {"ended": True}, part=job_id)])
-    await until(lambda: not engine.running)
+    await wait_until(lambda: not engine.running)
     assert len(engine.started) == 2, "the second start must not run the items again"
     agent.runner.start_unit(again, unit.claim_version)
     assert not agent.runner.units, "no unit of an ended job may start"
@@ -83,7 +83,7 @@
     engine.may_finish.clear()
     world.agent("a", engine)
     await world.submit(groups=1)
-    await until(lambda: len(engine.running) == 2)
+    await wait_until(lambda: len(engine.running) == 2)
     engine.serves = False
     other = FakeEngine()
     world.agent("b", other)
@@ -98,7 +98,7 @@
     row = (await world.store.scan("claims", "", "job"))[0]
     value = {"agent": "b", "session": "other"}
     await world.store.commit([Write("claims", row.key, value, part="job")])
-    await until(lambda: not engine.running)
+    await wait_until(lambda: not engine.running)
     assert not agent.runner.units
 
 
@@ -127,7 +127,7 @@
     stored = {"item": "job-0-0", "state": "whole", "text": "first"}
     await world.store.commit([Write(RESULTS, "job-0-0", stored, 0, part="job")])
     agent = world.agent("a")
-    await until(
+    await wait_until(
         lambda: (
             agent.tracker.open_jobs
             and not agent.runner.units
@@ -135,7 +135,7 @@
         )
     )
     await asyncio.sleep(0)
-    await until(
+    await wait_until(
         lambda: (
             not agent.runner.result_writer.writer_tasks and agent.runner.forwarder.calls
         )
@@ -150,7 +150,7 @@
     engine.replaced = {"e-a"}
     agent = world.agent("a", engine)
     await world.submit(groups=1)
-    await until(lambda: engine.started)
+    await wait_until(lambda: engine.started)
     agent.local_engine.directory.set_server(server("e-new"))
     assert len(await world.results()) == 2
     refused = [s for s in engine.servers if s == "e-a"]
@@ -163,9 +163,9 @@
     engine.busy = True
     agent = world.agent("a", engine)
     agent.local_engine.directory.set_weight_version(MODEL, 3)
-    await until(lambda: agent.weights.loading_model == MODEL)
+    await wait_until(lambda: agent.weights.loading_model == MODEL)
     await world.submit(groups=1)
-    await until(lambda: "job" in agent.tracker.open_jobs)
+    await wait_until(lambda: "job" in agent.tracker.open_jobs)
     await agent.claim_units()
     assert not agent.runner.units
     engine.busy = False
@@ -176,7 +176,7 @@
 @scenario
 async def test_an_engine_that_is_about_to_load_gets_no_new_work(world):
     agent = world.agent("a", FakeEngine())
-    await until(lambda: agent.local_engine.versions)
+    await wait_until(lambda: agent.local_engine.versions)
     assert agent.weights.ready_versions() == {MODEL: 1}
     agent.local_engine.directory.set_weight_version(MODEL, 3)
     assert agent.weights.ready_versions() == {}
@@ -191,7 +191,7 @@
     agent = world.agent("a", engine)
     agent.runner.forwarder.may_answer.clear()
     await world.submit(groups=3)
-    await until(lambda: len(engine.started) == 6)
+    await wait_until(lambda: len(engine.started) == 6)
     assert agent.runner.slots_used == 0
     agent.runner.forwarder.may_answer.set()
     await world.results()
@@ -204,7 +204,7 @@
     agent = world.agent("a", engine)
     agent.runner.forwarder.may_answer.clear()
     await world.submit(groups=7)
-    await until(lambda: agent.runner.scoring_count == 8)
+    await wait_until(lambda: agent.runner.scoring_count == 8)
     await agent.claim_units()
     assert len(engine.started) == 8, "two rounds of four slots wait for scores"
     agent.runner.forwarder.may_answer.set()
@@ -221,7 +221,7 @@
     engine.may_finish.clear()
     agent = world.agent("a", engine)
     await world.submit(groups=1, size=1)
-    await until(lambda: any(run.needs_saving for run in runs_of(agent)))
+    await wait_until(lambda: any(run.needs_saving for run in runs_of(agent)))
     await agent.runner.save_partials()
     (saved,) = await world.store.scan(PARTIALS, "", "job")
     return agent, engine, len(saved.value["events"])
@@ -253,7 +253,7 @@
     engine.may_finish.clear()
     agent = world.agent("a", engine)
     await world.submit(groups=1, size=1)
-    await until(lambda: engine.running)
+    await wait_until(lambda: engine.running)
     (run,) = runs_of(agent)
     run.events[:] = ["x" * 40_000] * 2
     assert run.make_partial() is None
@@ -265,7 +265,7 @@
     forward = agent.runner.forwarder.forward
     agent.runner.forwarder.forward = None
     await world.submit(groups=1, size=1)
-    await until(lambda: agent.runner.releaser.tasks)
+    await wait_until(lambda: agent.runner.releaser.tasks)
     agent.runner.forwarder.forward = forward
     (result,) = await world.results()
     assert result.state is ResultState.WHOLE
@@ -281,12 +281,12 @@
     await world.store.commit([Write(AGENTS, "a", value)])
     agent = world.agent("a")
     agent.local_engine.directory.forget_server("e-a")
-    await until(lambda: agent.weights.fence)
+    await wait_until(lambda: agent.weights.fence)
     row = await world.store.read(AGENTS, "a")
     stored = {key: row.value[key] for key in ("engine", "home", "usual")}
     assert stored == {"engine": "e-a", "home": MODEL, "usual": 0.05}
     agent.local_engine.directory.set_server(server("e-new"))
-    await until(lambda: agent.heartbeat_writer.last_heartbeat.engine == "e-new")
+    await wait_until(lambda: agent.heartbeat_writer.last_heartbeat.engine == "e-new")
     assert agent.heartbeat_writer.last_heartbeat.usual == 0, (
         "the usual pace of another start does not apply"
     )
@@ -298,7 +298,7 @@
     directory = agent.local_engine.directory
     value = {"session": "old", "engine": "e-a", "born": 1, "home": "x", "usual": 0.05}
     directory.set_server(attrs.evolve(server("e-a"), born=1))
-    await until(lambda: agent.weights.fence)
+    await wait_until(lambda: agent.weights.fence)
     agent.peers.apply_rows([Row(AGENTS, "a", 9, value)])
     agent.heartbeat_writer.last_heartbeat = agent.peers.last_heartbeat("a")
     assert agent.heartbeat_writer.usual_pace() == 0.05
--- a/tests/test_authorization.py
+++ b/tests/test_authorization.py
@@ -14,7 +14,7 @@
 from gypsumshift.serving.authorization import Grant, UnknownKey
 from gypsumshift.watch import MAX_FEED_WAIT, MAX_FEED_WAIT_UNCONFIRMED
 from gypsumshift.workspaces import key_digest
-from tests import own_time
+from tests import virtual_time
 from tests.authorization_builders import AuthorizationHost
 
 
@@ -169,7 +169,7 @@
         assert isinstance(await host.authorize(), CannotTell)
         assert not asked.is_set()
 
-    own_time.play(lambda: scenario(AuthorizationHost()))
+    virtual_time.run_in_virtual_time(lambda: scenario(AuthorizationHost()))
 
 
 def test_a_host_queries_the_store_after_a_suspension_before_it_refuses():
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -16,7 +16,7 @@
 from gypsumshift.watch import Watch
 from standins.deployment import free_port
 from standins.users_documents import settings_text
-from tests.system import until
+from tests.system import wait_until
 from tests.test_platform import run_scenario
 
 TABLE = "settings"
@@ -133,7 +133,9 @@
         # Its neighbours are cut off from the store as well.
         world.gateway.store.path.store = ("127.0.0.1", 1)
         world.tasks.append(asyncio.create_task(late.run()))
-        await until(lambda: late.directory.routes.version and late.directory.servers)
+        await wait_until(
+            lambda: late.directory.routes.version and late.directory.servers
+        )
         world.front_address = late.ports[0].server.listener.sockets[0].getsockname()
         exchange, _ = await world.send_request("POST", "/app/1", "a1", b"hello")
         assert exchange.status == 200
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -16,7 +16,7 @@
 RUNNER = CliRunner()
 
 
-class Background:
+class BackgroundSystem:
     """A system that runs on a thread of its own, as commands block."""
 
     def __enter__(self):
@@ -46,7 +46,7 @@
 
 @pytest.fixture(scope="module")
 def background():
-    with Background() as running:
+    with BackgroundSystem() as running:
         yield running
 
 
--- a/tests/test_fatal_dispatch.py
+++ b/tests/test_fatal_dispatch.py
@@ -14,7 +14,7 @@
 from tests import system
 from tests.builders import ManualClock
 from tests.platform_cluster import crash_worker
-from tests.system import until
+from tests.system import wait_until
 
 FATAL = b"fatal"
 
@@ -93,7 +93,7 @@
             await trainer.submit(groups)
             delivery = await trainer.step(1)
         assert {sample.id.split("/")[0] for sample in delivery.samples} == {"g1", "g2"}
-        await until(lambda: len(crashed) == CRASH_LIMIT)
+        await wait_until(lambda: len(crashed) == CRASH_LIMIT)
         await asyncio.sleep(0.3)
         assert len(crashed) == CRASH_LIMIT
 
@@ -113,8 +113,8 @@
                 # 60 s more cover the running time of the test, by which crashes are
                 # dated.
                 quarantine.clock.advance(pause and pause + 60.0)
-                await until(lambda due=number: total_crashes(quarantine) == due)
-            await until(lambda: failed_groups(sys))
+                await wait_until(lambda due=number: total_crashes(quarantine) == due)
+            await wait_until(lambda: failed_groups(sys))
             pull.cancel()
         assert len(crashed) == CRASH_LIMIT + len(TRIAL_DELAYS_S)
 
--- a/tests/test_fatal_items.py
+++ b/tests/test_fatal_items.py
@@ -27,7 +27,7 @@
 from gypsumshift.serving.trialclaims import CRASHES_TABLE
 from gypsumshift.watch import run_watches
 from tests import job_builders as jw
-from tests import own_time
+from tests import virtual_time
 
 # Seconds until a fatal item crashes its engine, and until the engine is back.
 CRASH_AFTER, RESTART_AFTER = 0.1, 3.5
@@ -90,7 +90,9 @@
     """Tables whose time is the event loop's, counted from the start of a test."""
 
     def now(self):
-        seconds = asyncio.get_running_loop().time() - own_time.OwnTime.seconds
+        seconds = (
+            asyncio.get_running_loop().time() - virtual_time.VirtualTimeLoop.seconds
+        )
         return datetime.timedelta(seconds=seconds)
 
 
@@ -99,7 +101,7 @@
 
     def __init__(self, names="abcde", forwarder=jw.FakeForwarder, retention=None):
         super().__init__(store=Tables())
-        self.clock = own_time.LoopClock()
+        self.clock = virtual_time.LoopClock()
         self.job_manager.clock = self.clock
         self.fatal = set()
         self.crashes = []
@@ -135,7 +137,7 @@
         finally:
             await world.close()
 
-    own_time.play(run)
+    virtual_time.run_in_virtual_time(run)
 
 
 def test_item_that_crashes_engines_is_held_back_and_the_others_are_done():
--- a/tests/test_fatal_machine.py
+++ b/tests/test_fatal_machine.py
@@ -14,7 +14,7 @@
 
 from gypsumshift.outcomes import Answered
 from gypsumshift.serving.quarantine import MAX_RECORDS
-from tests import own_time
+from tests import virtual_time
 from tests.crash_world import KINDS, CrashWorld
 
 # Time with faults, and time without faults after it.
@@ -185,4 +185,4 @@
         finally:
             await world.close()
 
-    own_time.play(functools.partial(run, seed))
+    virtual_time.run_in_virtual_time(functools.partial(run, seed))
--- a/tests/test_fatal_platform.py
+++ b/tests/test_fatal_platform.py
@@ -9,15 +9,17 @@
 from standins.users_documents import job_body
 from tests.builders import ManualClock
 from tests.platform_cluster import gateway_lists, run_scenario
-from tests.system import until
+from tests.system import wait_until
 
 
 def test_a_fatal_request_is_held_back_and_its_trace_lists_the_crashes(tmp_path):
     async def scenario(world):
         await world.store.write_row("servers", world.app.id, None)
         workers = await world.add_crashing_workers(4)
-        await until(lambda: not gateway_lists(world, world.app))
-        await until(lambda: all(gateway_lists(world, worker) for worker in workers))
+        await wait_until(lambda: not gateway_lists(world, world.app))
+        await wait_until(
+            lambda: all(gateway_lists(world, worker) for worker in workers)
+        )
         # A stopped clock, so that no trial becomes due on a slow machine.
         stopped = ManualClock()
         stopped.seconds = world.gateway.clock.monotonic()
@@ -54,7 +56,7 @@
 def test_items_and_reward_calls_that_crash_servers_delay_no_others(tmp_path):
     async def scenario(world):
         await world.store.write_row("servers", world.app.id, None)
-        await until(lambda: not gateway_lists(world, world.app))
+        await wait_until(lambda: not gateway_lists(world, world.app))
         await world.add_crashing_workers(4)
         body = json.loads(job_body("job"))
         fatal = base64.b64encode(b"fatal").decode()
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -191,7 +191,7 @@
 
     @rule(lose=st.integers(0, 2), drop=st.integers(0, 2))
     def platform_loses(self, lose, drop):
-        self.tables.lose_next, self.tables.drop_next = lose, drop
+        self.tables.lost_answers, self.tables.lost_requests = lose, drop
 
     @rule(cut=st.booleans())
     def cut_off(self, cut):
--- a/tests/test_jobmanager.py
+++ b/tests/test_jobmanager.py
@@ -72,9 +72,9 @@
         manager, clock = make_manager(store)
         store.down = True
         assert isinstance(await submit(manager, clock), NotRun)
-        store.down, store.drop_next = False, 100
+        store.down, store.lost_requests = False, 100
         assert isinstance(await submit(manager, clock), Unknown)
-        store.drop_next, store.lose_next = 0, 1
+        store.lost_requests, store.lost_answers = 0, 1
         assert isinstance(await submit(manager, clock), Committed)
 
     asyncio.run(scenario())
--- a/tests/test_jobmanager_machine.py
+++ b/tests/test_jobmanager_machine.py
@@ -47,7 +47,7 @@
 
     @rule(lose=st.integers(0, 2), drop=st.integers(0, 30))
     def store_loses(self, lose, drop):
-        self.store.lose_next, self.store.drop_next = lose, drop
+        self.store.lost_answers, self.store.lost_requests = lose, drop
 
     @rule(manager=MANAGERS, name=st.sampled_from(JOBS))
     def submit(self, manager, name):
@@ -72,7 +72,7 @@
 
     def store_answers(self):
         self.store.down = False
-        self.store.lose_next = self.store.drop_next = 0
+        self.store.lost_answers = self.store.lost_requests = 0
 
     @rule(manager=MANAGERS, name=st.sampled_from(JOBS))
     def submit_and_read(self, manager, name):
--- a/tests/test_late_machine.py
+++ b/tests/test_late_machine.py
@@ -20,7 +20,7 @@
 from gypsumshift.serving import Directory
 from gypsumshift.watch import run_watches
 from tests import job_builders as jw
-from tests.own_time import LoopClock, OwnTime
+from tests.virtual_time import LoopClock, VirtualTimeLoop
 
 # Seconds with faults, at most until all results are listed afterwards, and for calls
 # that are still in progress then.
@@ -179,5 +179,5 @@
     async def play():
         await Fleet(seed).play()
 
-    with asyncio.Runner(loop_factory=OwnTime) as runner:
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         runner.run(play())
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -47,7 +47,7 @@
 
     @rule(lose=st.integers(0, 1), drop=st.integers(0, 1))
     def set_lost_answers(self, lose, drop):
-        self.tables.lose_next, self.tables.drop_next = lose, drop
+        self.tables.lost_answers, self.tables.lost_requests = lose, drop
 
     @invariant()
     def at_most_one_holder(self):
@@ -102,7 +102,7 @@
     async def scenario():
         first = Fence(tables, "b", "one", clock)
         assert await first.acquire() == 1
-        tables.lose_next = 1
+        tables.lost_answers = 1
         second = Fence(tables, "b", "two", clock)
         assert await second.acquire() == 2
         assert await first.is_superseded() and not await second.is_superseded()
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -28,7 +28,7 @@
     job_row,
 )
 from tests.job_builders import JobCluster as JobsWorld
-from tests.system import until
+from tests.system import wait_until
 from tests.test_agent import scenario as jobs_scenario
 from tests.test_neighbours import UNREACHABLE, call_store, fail_twice, scenario
 
@@ -52,7 +52,7 @@
 async def test_an_agent_that_answers_the_probe_keeps_its_units(world: JobsWorld):
     probe = ScriptedLivenessProbe("silent")
     agent = await start_beside_silent_holder(world, probe)
-    await until(lambda: len(probe.asked) >= 2)
+    await wait_until(lambda: len(probe.asked) >= 2)
     assert not agent.runner.units, "its holder works and is probed again later"
     probe.working.clear()
     assert len(await world.results()) == 2
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,7 +11,7 @@
 from gypsumshift.platforms import Host
 
 from . import builders, system
-from .system import HOST, until
+from .system import HOST, wait_until
 
 
 def changed(source, timeout):
@@ -42,7 +42,7 @@
     async def work(sys):
         assert await apply(sys, 1, 3.0) == 200
         sys.tables.down = True
-        await until(lambda: everywhere(sys, 2))
+        await wait_until(lambda: everywhere(sys, 2))
         timeouts = {
             e.active_revision.catalog.workspaces["w"].timeout for e in sys.entries
         }
@@ -57,7 +57,7 @@
             apply(sys, 1, 3.0, entry=0), apply(sys, 1, 4.0, entry=1)
         )
         assert sorted(statuses) == [200, 409]
-        await until(lambda: everywhere(sys, 2))
+        await wait_until(lambda: everywhere(sys, 2))
         timeouts = {
             e.active_revision.catalog.workspaces["w"].timeout for e in sys.entries
         }
@@ -82,7 +82,7 @@
             sys.replace_sidecar("shop-1"),
             sys.add_entry("entry-9"),
         )
-        await until(lambda: everywhere(sys, 2))
+        await wait_until(lambda: everywhere(sys, 2))
 
     system.run(work, services=2, entries=2)
 
@@ -98,7 +98,7 @@
         sidecar.is_poller = lambda: False
         for number, timeout in ((1, 3.0), (2, 4.0)):
             assert await apply(sys, number, timeout) == 200
-        await until(lambda: sys.entries[0].active_revision.number == 3)
+        await wait_until(lambda: sys.entries[0].active_revision.number == 3)
         assert sidecar.active_revision.number == 1
         del sidecar.heartbeat_addresses
         sidecar.member.port = port
@@ -108,7 +108,7 @@
             seen.append(n) or activate(n, text)
         )
         sidecar.heartbeats.wake.set()
-        await until(lambda: sidecar.active_revision.number == 3)
+        await wait_until(lambda: sidecar.active_revision.number == 3)
         assert seen == sorted(seen)
 
     system.run(work, engines=0)
@@ -128,7 +128,7 @@
             assert answer.status == 503
             assert json.loads(answer.body)["outcome"] == "not run"
         fresh = await sys.add_entry("entry-late")
-        await until(lambda: fresh.active_revision.ready)
+        await wait_until(lambda: fresh.active_revision.ready)
         assert fresh.active_revision.number == 1
 
     system.run(work)
@@ -139,7 +139,7 @@
         sys.sidecars["shop-0"].start_leaving("told to")
         async with sys.client() as client:
             for _ in range(10):
-                result = await client.once("GET", "/services/shop/x", [], b"", 5.0)
+                result = await client.call_once("GET", "/services/shop/x", [], b"", 5.0)
                 assert isinstance(result, Answered)
         assert sum(sys.services[0].runs.values()) == 0
 
@@ -152,9 +152,9 @@
         async with sys.client() as client:
             headers = [("request-id", "x")]
             path = "/services/shop/sales"
-            result = await client.once("POST", path, headers, b"", 5.0)
+            result = await client.call_once("POST", path, headers, b"", 5.0)
             assert isinstance(result, NotRun)
-        assert sys.runs() == {}
+        assert sys.run_counts() == {}
 
     system.run(work, engines=0)
 
@@ -187,9 +187,9 @@
         async with sys.client(entry=0) as client:
             body = {"prompt": "p", "max_tokens": 150, "stream": True}
             call = asyncio.create_task(client.call("POST", "/v1/completions", body))
-            await until(lambda: engine.running)
+            await wait_until(lambda: engine.running)
             leaving = asyncio.create_task(entry.drain(20))
-            await until(lambda: entry.member.leaving)
+            await wait_until(lambda: entry.member.leaving)
             await entry.drain(20)
             health = await Fetcher().fetch(entry.caller_address, "GET", "/health")
             assert health.status == 503
@@ -208,9 +208,9 @@
         async with sys.client(entry=0) as client:
             body = json.dumps({"prompt": "p", "max_tokens": 10**6, "stream": True})
             call = asyncio.create_task(
-                client.once("POST", "/v1/completions", [], body.encode(), 30)
+                client.call_once("POST", "/v1/completions", [], body.encode(), 30)
             )
-            await until(lambda: engine.running)
+            await wait_until(lambda: engine.running)
             await entry.drain(0.05)
             assert isinstance(await call, Unknown)
 
@@ -238,7 +238,9 @@
         for number in range(2):
             old = sys.entries[number]
             new = await sys.add_entry(f"entry-new-{number}")
-            await until(lambda new=new: new.active_revision.ready and sys.settled())
+            await wait_until(
+                lambda new=new: new.active_revision.ready and sys.has_converged()
+            )
             await old.drain(5)
             await old.stop()
         done.set()
@@ -282,8 +284,8 @@
         entry.heartbeat_addresses = lambda: []
         for process in (entry, *sys.sidecars.values()):
             process.heartbeat_period = 3600.0
-        await until(lambda: len(entry.membership.recent_callers()) == 2)
+        await wait_until(lambda: len(entry.membership.recent_callers()) == 2)
         assert await apply(sys, 1, 3.0) == 200
-        await until(lambda: everywhere(sys, 2))
+        await wait_until(lambda: everywhere(sys, 2))
 
     system.run(work)
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -11,7 +11,7 @@
     Relay,
     StorePath,
 )
-from tests.system import until
+from tests.system import wait_until
 
 UNREACHABLE = ("127.0.0.1", 1)
 
@@ -90,7 +90,7 @@
     helper = await world.neighbour("helper", store)
     path = world.path(UNREACHABLE, [helper])
     await fail_twice(path)
-    await until(lambda: path.via == helper)
+    await wait_until(lambda: path.via == helper)
     return store, path
 
 
@@ -100,7 +100,7 @@
     assert await call_store(path, "POST", b"row") == 200
     assert world.calls[-1] == ("POST", "/rows?a=b", b"row")
     path.store = store
-    await until(lambda: path.via is None)
+    await wait_until(lambda: path.via is None)
     assert await call_store(path) == 200
 
 
@@ -113,7 +113,7 @@
     helper = await world.neighbour("helper", store)
     path = world.path(await world.serve(turn_away), [helper])
     assert [await call_store(path), await call_store(path)] == [503, 503]
-    await until(lambda: path.via == helper)
+    await wait_until(lambda: path.via == helper)
     assert await call_store(path) == 200
 
 
@@ -124,7 +124,7 @@
     near = await world.neighbour("near", store)
     path = world.path(UNREACHABLE, [*far, near])
     await fail_twice(path)
-    await until(lambda: path.via is not None)
+    await wait_until(lambda: path.via is not None)
     assert path.via == near
 
 
@@ -136,7 +136,7 @@
     far = await world.neighbour("far", store, "there")
     path = world.path(UNREACHABLE, [*near, far])
     await fail_twice(path)
-    await until(lambda: path.via is not None)
+    await wait_until(lambda: path.via is not None)
     assert path.via == far
 
 
@@ -157,7 +157,7 @@
     other = await world.neighbour("other", UNREACHABLE)
     path = world.path(UNREACHABLE, [other])
     await fail_twice(path)
-    await until(lambda: path.search_task.done())
+    await wait_until(lambda: path.search_task.done())
     assert path.via is None
     assert isinstance(await call_store(path), FetchError)
 
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -15,7 +15,7 @@
 from gypsumshift.platforms import Write
 from tests.builders import ManualClock
 from tests.job_builders import FakeEngine, JobCluster, server
-from tests.system import until
+from tests.system import wait_until
 from tests.test_agent import scenario
 
 
@@ -35,7 +35,7 @@
     agent = world.agent("slow", engine)
     agent.local_engine.directory.set_server(server("e-fast", address=("127.0.0.1", 10)))
     units = await world.submit(groups=3, hints={"job-1-0": 90, "job-1-1": 90})
-    await until(lambda: len(engine.running) == 4)
+    await wait_until(lambda: len(engine.running) == 4)
     return agent, units
 
 
@@ -105,8 +105,8 @@
         value = {"session": name, "beat": 1, "pace": 0.001}
         await world.store.commit([Write(AGENTS, name, value)])
     await world.submit(groups=1)
-    await until(lambda: agent.slow_at > 0)
-    await until(lambda: not slow.running)
+    await wait_until(lambda: agent.slow_at > 0)
+    await wait_until(lambda: not slow.running)
     assert all(row.value["events"] for row in await saved_rows(world))
     assert agent.free_capacity(agent.local_engine.limits).free_slots == 0
 
@@ -168,6 +168,6 @@
 async def test_moved_units_are_forgotten_when_their_job_ends(world: JobCluster):
     agent, _ = await slower_agent(world)
     await write_faster_heartbeat(world)
-    await until(lambda: agent.unit_migrator.migrated)
+    await wait_until(lambda: agent.unit_migrator.migrated)
     agent.tracker.close_job("job")
-    await until(lambda: not agent.unit_migrator.migrated)
+    await wait_until(lambda: not agent.unit_migrator.migrated)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -11,7 +11,7 @@
 from standins.users_store import RAW_BYTES_FIELD, Faults
 from standins.users_worker import FakeWorker, event_text, plain_answer
 from tests.platform_cluster import run_scenario
-from tests.system import until
+from tests.system import wait_until
 
 
 def test_a_request_goes_to_a_worker_and_back(tmp_path):
@@ -89,7 +89,7 @@
     async def scenario(world):
         other = FakeWorker("app")
         await world.register(other)
-        await until(lambda: other.id in world.gateway.directory.servers)
+        await wait_until(lambda: other.id in world.gateway.directory.servers)
         world.app.loses_answers = other.loses_answers = True
         exchange, _ = await world.send_request("POST", "/once/1", "only")
         assert exchange.status == 502, "it may have run, so it is not called refused"
@@ -111,8 +111,10 @@
         lost = asyncio.create_task(
             world.send_request("POST", "/batch/1", "job", job_body("job"))
         )
-        await until(lambda: world.store.tables.version and not world.store.late_commits)
-        await until(lambda: ("jobs", "job", "job") in world.store.tables.rows)
+        await wait_until(
+            lambda: world.store.tables.version and not world.store.late_commits
+        )
+        await wait_until(lambda: ("jobs", "job", "job") in world.store.tables.rows)
         world.store.faults = Faults()
         exchange, _ = await lost
         assert exchange.status == 202, "the write whose answer was lost is settled"
@@ -131,7 +133,7 @@
     async def scenario(world):
         other = FakeWorker("pool", ("m",))
         await world.register(other)
-        await until(lambda: other.id in world.gateway.directory.servers)
+        await wait_until(lambda: other.id in world.gateway.directory.servers)
         # Whichever is asked first breaks off inside its third event.
         world.engine.break_at_events = other.break_at_events = [3]
         exchange, body = await world.send_request("POST", "/resumed/1", "s1")
@@ -158,14 +160,14 @@
     async def scenario(world):
         added = route("new", kind="safe", service="app")
         await world.store.write_row("op", "config", config(5, [added]))
-        await until(lambda: world.gateway.directory.routes.version == 5)
+        await wait_until(lambda: world.gateway.directory.routes.version == 5)
         exchange, _ = await world.send_request("POST", "/new/1", "n1")
         assert exchange.status == 200
         await world.store.write_row("op", "config", config(4))
         await world.store.write_row("op", "broken", {"version": "?"})
         await world.store.write_row("op", "config", {"version": 9})
         await world.store.write_row("op", "config", config(10, [added]))
-        await until(lambda: world.gateway.directory.routes.version == 10)
+        await wait_until(lambda: world.gateway.directory.routes.version == 10)
 
     run_scenario(scenario, tmp_path)
 
@@ -177,7 +179,7 @@
         await world.store.write_row("op", "config", config(5, [added]))
         world.store.tables.drop_history()
         world.store.faults = Faults()
-        await until(lambda: world.gateway.directory.routes.version == 5)
+        await wait_until(lambda: world.gateway.directory.routes.version == 5)
 
     run_scenario(scenario, tmp_path)
 
@@ -188,7 +190,7 @@
         await world.register(other)
         world.app.state = "draining"
         await world.register(world.app)
-        await until(
+        await wait_until(
             lambda: (
                 [s.id for s in world.gateway.directory.ready_servers("app")]
                 == [other.id]
@@ -205,7 +207,7 @@
     async def scenario(world):
         world.app.pause = 0.4
         running = asyncio.create_task(world.send_request("POST", "/app/1", "last"))
-        await until(lambda: world.app.runs)
+        await wait_until(lambda: world.app.runs)
         leaving = asyncio.create_task(world.gateway.drain(2.0))
         await asyncio.sleep(0)
         exchange = await world.fetcher.open(
@@ -300,9 +302,9 @@
 def test_a_gateway_that_the_store_does_not_answer_works_through_the_agent(tmp_path):
     async def scenario(world):
         path = world.gateway.store.path
-        await until(lambda: path.neighbours)
+        await wait_until(lambda: path.neighbours)
         path.store = ("127.0.0.1", 1)
-        await until(lambda: path.via is not None)
+        await wait_until(lambda: path.via is not None)
         exchange, _ = await world.send_request(
             "POST", "/batch/", "job", job_body("job")
         )
@@ -310,7 +312,7 @@
         assert len(await world.read_results()) == 4
         assert world.gateway.ready
         path.store = ("127.0.0.1", world.store_port)
-        await until(lambda: path.via is None)
+        await wait_until(lambda: path.via is None)
 
     run_scenario(scenario, tmp_path)
 
@@ -322,12 +324,12 @@
             "POST", "/batch/1", "job", job_body("job")
         )
         assert exchange.status == 202
-        await until(lambda: len(world.engine.runs) == 4)
+        await wait_until(lambda: len(world.engine.runs) == 4)
         before = {run["request"] for run in world.engine.runs}
         world.engine.restart()
         await world.register(world.engine)
         # Its runs are cut and begun anew at once, behind what had come of them.
-        await until(lambda: len(world.engine.runs) == 8)
+        await wait_until(lambda: len(world.engine.runs) == 8)
         again = world.engine.runs[4:]
         assert {run["request"] for run in again} == before
         results = await world.read_results()
--- a/tests/test_platform_keys.py
+++ b/tests/test_platform_keys.py
@@ -9,7 +9,7 @@
 from standins.users_documents import config, job_body, results_target
 from standins.users_store import Faults
 from tests.platform_cluster import run_scenario
-from tests.system import until
+from tests.system import wait_until
 
 KEYS = {"one": ["key-one", "key-more"], "two": ["key-two"]}
 
@@ -19,10 +19,10 @@
     value = config(version, workspaces=keys or KEYS)
     await world.store.write_row("op", "config", value)
     gateway = world.gateway
-    await until(lambda: gateway.directory.routes.version == version)
+    await wait_until(lambda: gateway.directory.routes.version == version)
     watch = next(w for w in gateway.directory_watches if w.table == "op")
     at = gateway.clock.monotonic_with_suspend()
-    await until(lambda: watch.confirmed_at > at)
+    await wait_until(lambda: watch.confirmed_at > at)
 
 
 def test_a_worker_gets_the_workspace_and_never_the_key(tmp_path):
--- a/tests/test_positions.py
+++ b/tests/test_positions.py
@@ -5,7 +5,7 @@
 
 from soak.positions import PositionChecker
 from standins.users_store import FakeMetadataStore, Faults
-from tests.system import until
+from tests.system import wait_until
 
 
 def page(*items):
@@ -64,7 +64,7 @@
         store = FakeMetadataStore()
         store.faults = Faults(answer_late=0.2)
         asked = asyncio.create_task(store.serve_rows_tx(TransactionRequest("first")))
-        await until(lambda: store.tables.version)
+        await wait_until(lambda: store.tables.version)
         assert not asked.done(), "the write took effect before its answer"
         await store.write_row("t", "other", {})
         answer = await asked
@@ -81,6 +81,6 @@
         store.faults = Faults(lose=1.0, late=0.1, answer_late=60.0)
         await store.serve_rows_tx(TransactionRequest("lost"))
         assert store.tables.version == 0
-        await until(lambda: store.tables.version)
+        await wait_until(lambda: store.tables.version)
 
     asyncio.run(scenario())
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -94,7 +94,7 @@
 
     @rule(lose=st.integers(0, 2), drop=st.integers(0, 2))
     def platform_loses(self, lose, drop):
-        self.tables.lose_next, self.tables.drop_next = lose, drop
+        self.tables.lost_answers, self.tables.lost_requests = lose, drop
 
     @invariant()
     def accepted_stays(self):
@@ -126,7 +126,7 @@
 def test_a_lost_answer_is_settled_by_the_token():
     tables = builders.FaultyTables()
     history = RevisionHistory(tables, builders.ManualClock())
-    tables.lose_next = 1
+    tables.lost_answers = 1
     outcome = asyncio.run(history.apply(0, source("a"), "a", "m", "token"))
     assert isinstance(outcome, AcceptedRevision) and outcome.number == 1
 
--- a/tests/test_samples.py
+++ b/tests/test_samples.py
@@ -11,7 +11,7 @@
 from standins.engine import TOKENS_PER_VERSION
 
 from . import system
-from .system import until
+from .system import wait_until
 
 
 def groups(count, start=0, tokens=20):
@@ -44,7 +44,9 @@
         async with sys.trainer() as trainer:
             await trainer.submit(groups(4, tokens=150))
             pull = asyncio.create_task(trainer.step(1))
-            await until(lambda: sys.engines[0].running and sys.engines[0].made > 40)
+            await wait_until(
+                lambda: sys.engines[0].running and sys.engines[0].made > 40
+            )
             await trainer.publish(1, b"w")
             delivery = await pull
             check_labels(delivery)
@@ -64,7 +66,7 @@
             await trainer.publish(1, b"w")
             delivery = await trainer.step(1)
             check_truth(delivery)
-            await until(lambda: sidecar.backend.state.version == 1)
+            await wait_until(lambda: sidecar.backend.state.version == 1)
             assert engine.version == 1 and engine.fence == sidecar.member.fence
 
     system.run(work, services=0)
@@ -77,7 +79,7 @@
         async with sys.trainer() as trainer:
             await trainer.submit(groups(2, tokens=150))
             pull = asyncio.create_task(trainer.step(1))
-            await until(lambda: engine.made > 40)
+            await wait_until(lambda: engine.made > 40)
             await trainer.publish(1, b"w")
             delivery = await pull
             check_labels(delivery)
@@ -93,7 +95,7 @@
         async with sys.trainer() as trainer:
             await trainer.submit(groups(2, tokens=150))
             pull = asyncio.create_task(trainer.step(1))
-            await until(lambda: sys.engines[0].made > 40)
+            await wait_until(lambda: sys.engines[0].made > 40)
             await sys.replace_sidecar("model-0")
             delivery = await pull
             assert sorted(s.id for s in delivery.samples) == [
@@ -112,12 +114,12 @@
         old = sys.sidecars["model-0"]
         port = old.backend.address[1]
         new = await sys.add_sidecar("model-0", "model", port)
-        await until(lambda: new.member.fence > old.member.fence > 0)
+        await wait_until(lambda: new.member.fence > old.member.fence > 0)
         assert await new.backend.load_weights(2, new.member.fence)
         assert not await old.backend.load_weights(1, old.member.fence)
         assert sys.engines[0].version == 2
         old.set_target_version("model", 3)
-        await until(lambda: old.member.leaving)
+        await wait_until(lambda: old.member.leaving)
 
     system.run(work, services=0)
 
@@ -127,10 +129,10 @@
         old = sys.sidecars["model-0"]
         new = await sys.add_sidecar("model-0", "model", old.backend.address[1])
         entry = sys.entries[0]
-        await until(
+        await wait_until(
             lambda: entry.membership.newest_fences.get("model-0") == new.member.fence
         )
-        await until(lambda: entry.membership.peers[new.member.name].load)
+        await wait_until(lambda: entry.membership.peers[new.member.name].load)
         assert [k.member.fence for k in entry.membership.sidecars("model")] == [
             new.member.fence
         ]
@@ -162,7 +164,7 @@
                 for e in sys.entries
                 if any(d.running for d in e.driver_manager.drivers.values())
             ]
-            holder = (await until(held))[0]
+            holder = (await wait_until(held))[0]
             await holder.stop()
             delivery = await pull
             assert len(delivery.samples) == 4
@@ -173,7 +175,7 @@
 def test_groups_submitted_twice_count_once():
     async def work(sys):
         async with sys.trainer() as trainer:
-            sys.tables.lose_next = 1
+            sys.tables.lost_answers = 1
             assert await trainer.submit(groups(3)) in (0, 3)
             assert await trainer.submit(groups(4)) == 1
             rows = await sys.tables.scan("groups", "tr/")
@@ -187,9 +189,9 @@
         async with sys.trainer() as trainer:
             await trainer.submit(groups(4))
             pull = asyncio.create_task(trainer.step(1))
-            await until(lambda: sys.engines[0].made > 5)
+            await wait_until(lambda: sys.engines[0].made > 5)
             sys.tables.down = True
-            await until(lambda: sys.engines[0].made >= 40)
+            await wait_until(lambda: sys.engines[0].made >= 40)
             sys.engines[0].version = 5
             sys.tables.down = False
             delivery = await pull
@@ -217,8 +219,8 @@
             delivery = await trainer.step(1)
             assert {s.id[:2] for s in delivery.samples} == {"g1", "g2"}
             row = ("groups", "", "tr/000000000001")
-            await until(lambda: sys.tables.rows[row].value["failed"])
-            state = await trainer.ask("GET", "")
+            await wait_until(lambda: sys.tables.rows[row].value["failed"])
+            state = await trainer.request_until_answered("GET", "")
             assert "g0" in state["failed"]
 
     system.run(work, services=0)
@@ -231,11 +233,11 @@
         async with sys.client() as client:
             body = {"prompt": "p", "max_tokens": 60}
             call = asyncio.create_task(client.call("POST", "/v1/completions", body))
-            await until(lambda: engine.running)
+            await wait_until(lambda: engine.running)
             link = sys.entries[0].connection(("127.0.0.1", sidecar.member.port))
             await link.call(Body(drain=messages.Drain(5000)), 1.0)
-            await until(lambda: sidecar.member.leaving)
-            refused = await client.once(
+            await wait_until(lambda: sidecar.member.leaving)
+            refused = await client.call_once(
                 "POST", "/v1/completions", [], json.dumps(body).encode(), 5.0
             )
             assert type(refused).__name__ == "NotRun"
@@ -251,7 +253,7 @@
         answer = await Fetcher().fetch(address, "POST", "/v1/drain?name=model-0")
         assert json.loads(answer.body)["told"] == ["sidecar-model-0"]
         new = await sys.replace_sidecar("model-0")
-        await until(lambda: new.member.leaving)
+        await wait_until(lambda: new.member.leaving)
         row = await sys.tables.read("heads", "leaving/model-0")
         assert not isinstance(row, Missing)
 
--- a/tests/test_sampling.py
+++ b/tests/test_sampling.py
@@ -5,7 +5,7 @@
 from gypsumshift import Group
 
 from . import system
-from .system import until
+from .system import wait_until
 from .test_samples import check_labels, check_truth
 
 
@@ -62,7 +62,7 @@
         async with sys.trainer() as trainer:
             await trainer.submit(groups(4, tokens=60))
             pull = asyncio.create_task(trainer.step(1))
-            await until(lambda: hung.running)
+            await wait_until(lambda: hung.running)
             await hung.swapping.acquire()
             delivery = await pull
             check_truth(delivery)
@@ -77,10 +77,10 @@
             await trainer.submit(groups(2, tokens=300))
             trainer.version = 0
             pull = asyncio.create_task(trainer.step(1))
-            await until(lambda: sys.engines[0].made > 20)
+            await wait_until(lambda: sys.engines[0].made > 20)
             await trainer.publish(5, b"w")
             trainer.version = 5
-            trainer.client.turn += 1
+            trainer.client.entry_index += 1
             jump = asyncio.create_task(trainer.step(1))
             delivery = await jump
             await pull
--- a/tests/test_trainerstore.py
+++ b/tests/test_trainerstore.py
@@ -111,7 +111,7 @@
 
     @rule(lose=st.integers(0, 1), drop=st.integers(0, 1))
     def platform_loses(self, lose, drop):
-        self.tables.lose_next, self.tables.drop_next = lose, drop
+        self.tables.lost_answers, self.tables.lost_requests = lose, drop
 
     @invariant()
     def steps_are_right(self):
@@ -177,7 +177,7 @@
     ledger = prepared()
 
     async def work():
-        ledger.tables.lose_next = 1
+        ledger.tables.lost_answers = 1
         await ledger.seal_step(2, BOUND)
         step = await ledger.seal_step(2, BOUND)
         assert isinstance(step, Step) and step.number == 1
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -30,7 +30,7 @@
 from standins.users_worker import FakeWorker
 from tests.builders import FaultyTables, ManualClock
 from tests.platform_cluster import PlatformCluster
-from tests.system import until
+from tests.system import wait_until
 
 WINDOW_WIDTH = datetime.timedelta(seconds=5)
 METRICS = Metrics("usage", dict)
@@ -285,7 +285,7 @@
             await world.start(tmp_path)
             value = config(2, workspaces={"one": ["k1"], "two": ["k2"]})
             await world.store.write_row("op", "config", value)
-            await until(lambda: world.gateway.directory.routes.version == 2)
+            await wait_until(lambda: world.gateway.directory.routes.version == 2)
             await scenario(world, cloud)
             windows = world.gateway.accounting.counter.counts_by_window.values()
             return {
@@ -314,7 +314,7 @@
         await world.send_request("POST", "/score/1", "p")
         await world.send_request("POST", "/app/1", "w", key="wrong")
         await world.send_request("POST", "/batch/1", "job", job_body("job"), key="k1")
-        await until(lambda: len([r for r in world.engine.runs if "end" in r]) >= 4)
+        await wait_until(lambda: len([r for r in world.engine.runs if "end" in r]) >= 4)
 
     assert run_and_count(tmp_path, scenario) == {"one": 0, "two": 0}
 
@@ -332,7 +332,7 @@
     async def scenario(world, cloud):
         other = FakeWorker("app")
         await world.register(other)
-        await until(lambda: other.id in world.gateway.directory.servers)
+        await wait_until(lambda: other.id in world.gateway.directory.servers)
         world.app.loses_answers = other.loses_answers = True
         exchange, _ = await world.send_request("POST", "/app/1", "a", key="k1")
         assert exchange.status == 502
@@ -348,14 +348,14 @@
         cloud.faults = Faults(status=429)
         await asyncio.sleep(2)
         cloud.faults = Faults(lose=True)
-        await until(lambda: cloud.calls)
+        await wait_until(lambda: cloud.calls)
         cloud.faults = Faults()
 
         def reported_requests():
             windows = {call.window: call.counts for call in cloud.calls}
             return sum(counts.get("one", 0) for counts in windows.values())
 
-        await until(lambda: reported_requests() == 5)
+        await wait_until(lambda: reported_requests() == 5)
         assert not find_violations(cloud.calls)
 
     assert run_and_count(tmp_path, scenario)["one"] == 5
--- a/tests/own_time.py
+++ b/tests/virtual_time.py
@@ -1,11 +1,11 @@
-"""A loop in its own time: seconds cost nothing, and a seed plays alike each time."""
+"""Event loop in virtual time: waiting takes no real time, and runs are repeatable."""
 
 import asyncio
 
 from gypsumshift.clock import SystemClock
 
 
-class OwnTime(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """Loop whose time goes on at once to the next thing that waits for it."""
 
     seconds = 100.0
@@ -29,7 +29,7 @@
         return self.monotonic()
 
 
-def play(scenario):
+def run_in_virtual_time(scenario):
     """Run a coroutine function in a time of its own."""
-    with asyncio.Runner(loop_factory=OwnTime) as runner:
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(scenario())
