--- a/gypsumshift/__init__.py
+++ b/gypsumshift/__init__.py
@@ -1,4 +1,7 @@
-"""gypsumshift: a rollout service for reinforcement learning beside live serving."""
+"""gypsumshift: runs reinforcement-learning rollouts on engines that serve live traffic.
+
+This package exports the Python client for callers and trainers.
+"""
 
 from gypsumshift.client import (
     AsyncClient,
--- a/gypsumshift/client.py
+++ b/gypsumshift/client.py
@@ -1,4 +1,4 @@
-"""Client: the Python face for callers and trainers, through any entry."""
+"""Python client for callers and trainers, which uses any of several entries."""
 
 import asyncio
 import datetime
@@ -34,17 +34,17 @@
 
 
 class RequestRejected(Exception):
-    """An entry rejected a trainer's request for good; its words say why."""
+    """An entry rejected a trainer's request permanently; the text is its response."""
 
 
 @attrs.frozen
 class Delivery:
-    """One step as it was delivered.
+    """Samples of a completed training step.
 
     Attributes
     ----------
     number : int
-        Number of the step, from 1.
+        Number of the step, starting at 1.
     version : int
         Weight version of the trainer that staleness was checked against.
     samples : list of Sample
@@ -56,7 +56,7 @@
 
 
 def split_urls(urls: str | list[str]) -> tuple[list[tuple[str, int]], str]:
-    """Return the addresses in the URLs of some entries, and their common path."""
+    """Return the addresses in the URLs of entries, and the path of the first URL."""
     parts = [
         urllib.parse.urlsplit(url)
         for url in ([urls] if isinstance(urls, str) else urls)
@@ -66,16 +66,16 @@
 
 
 class AsyncClient:
-    """Calls models and services through any of several entries.
+    """Asynchronous client that calls models and services through several entries.
 
     Parameters
     ----------
     urls : str or list of str
         URLs of the entries, with the workspace as their path.
     timeout : float, default=30
-        Seconds within which a call has its outcome.
+        Seconds after which a call returns an outcome at the latest.
     workspace_key : str, optional
-        Key of the workspace, where it wants one.
+        Key of the workspace, if the workspace requires one.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
         self.fetcher.close_idle()
 
     def next_address(self) -> tuple[str, int]:
-        """Return the address of the entry to use now."""
+        """Return the address of the entry for the next request."""
         return self.addresses[self.entry_index % len(self.addresses)]
 
     async def call(
@@ -111,21 +111,22 @@
         unrepeatable: bool = False,
         timeout: float | None = None,
     ) -> Outcome:
-        """Call a model or service; return how that ended.
+        """Call a model or service, with retries until the timeout; return the outcome.
 
         Parameters
         ----------
         method, path : str
-            The path behind the workspace.
+            HTTP method, and path relative to the workspace.
         body : bytes or JSON value, optional
         headers : dict, optional
         key : str, optional
-            Idempotency key. One is made up for POST, PATCH and what else may
-            not be repeated, so that this method may try again safely.
+            Idempotency key. By default a key is generated for POST, PATCH and
+            unrepeatable requests, so that they can be retried safely.
         unrepeatable : bool, default=False
-            Whether the request may not be run twice.
+            Whether the request must not run twice.
         timeout : float, optional
-            Seconds within which the outcome is there.
+            Seconds after which an outcome is returned at the latest; default: the
+            client's timeout.
 
         Returns
         -------
@@ -139,35 +140,41 @@
         if self.workspace_key:
             fields.append(("authorization", f"Bearer {self.workspace_key}"))
         has_key = key or any(name.lower() == "idempotency-key" for name, _ in fields)
-        made_up = not has_key and (unrepeatable or method in UNSAFE_METHODS)
-        if made_up:
+        generates_key = not has_key and (unrepeatable or method in UNSAFE_METHODS)
+        if generates_key:
             key = secrets.token_hex(16)
         if key:
             fields.append(("idempotency-key", key))
         if unrepeatable:
             fields.append(("gypsumshift-unrepeatable", "?1"))
-        outcome: Outcome = NotRun("no time was left", UNSENT_RETRY_AFTER)
-        doubt: Unknown | None = None
-        fresh = made_up
-        while (left := deadline - loop.time()) > 0:
-            now = [*fields, ("prefer", f"wait={left:.3f}")]
-            now += [("gypsumshift-fresh-key", "?1")] if fresh else []
-            outcome = await self.call_once(method, path, now, data, left)
-            fresh = fresh and isinstance(outcome, NotRun)
+        outcome: Outcome = NotRun(
+            f"the request was not sent within its timeout of {timeout:g} s",
+            UNSENT_RETRY_AFTER,
+        )
+        last_unknown: Unknown | None = None
+        # A generated key is fresh while no attempt that used it can have run.
+        key_is_fresh = generates_key
+        while (remaining := deadline - loop.time()) > 0:
+            attempt_fields = [*fields, ("prefer", f"wait={remaining:.3f}")]
+            attempt_fields += [("gypsumshift-fresh-key", "?1")] if key_is_fresh else []
+            outcome = await self.call_once(
+                method, path, attempt_fields, data, remaining
+            )
+            key_is_fresh = key_is_fresh and isinstance(outcome, NotRun)
             if isinstance(outcome, Answered):
                 return outcome
             if isinstance(outcome, Unknown):
-                doubt = outcome
+                last_unknown = outcome
             pause = RETRY_PAUSE_S
             if isinstance(outcome, NotRun):
                 pause = outcome.retry_after.total_seconds()
             if loop.time() + pause >= deadline:
                 break
             await asyncio.sleep(pause)
-        return doubt or outcome
+        return last_unknown or outcome
 
     async def call_once(self, method, path, headers, data, timeout) -> Outcome:
-        """Call through one entry, once; another entry is next after a failure."""
+        """Send one attempt to the current entry; select the next entry on failure."""
         try:
             answer = await self.fetcher.fetch(
                 self.next_address(), method, self.path + path, headers, data, timeout
@@ -183,7 +190,7 @@
 
 
 def encode_body(body: object) -> tuple[bytes, list[tuple[str, str]]]:
-    """Return a body as bytes, with the header fields that it needs."""
+    """Encode a body; return its bytes and the header fields that describe it."""
     if body is None:
         return b"", []
     if isinstance(body, bytes):
@@ -192,7 +199,7 @@
 
 
 def read_outcome(answer: FetchedResponse) -> Outcome:
-    """Return the outcome that an entry's answer says."""
+    """Return the outcome that an entry's response describes."""
     headers = tuple((k.decode(), v.decode("latin-1")) for k, v in answer.headers)
     answered = Answered(answer.status, headers, answer.body)
     if answered.header("content-type") != "application/problem+json":
@@ -200,7 +207,9 @@
     try:
         value = json.loads(answer.body)
     except ValueError:
-        return Unknown("the entry's answer cannot be read")
+        return Unknown(
+            f"the entry's problem document (status {answer.status}) is not valid JSON"
+        )
     if value.get("outcome") == "not run" and answer.status in (429, 503):
         seconds = float(value.get("retry_after", RETRY_PAUSE_S))
         return NotRun(value.get("detail", ""), datetime.timedelta(seconds=seconds))
@@ -210,7 +219,7 @@
 
 
 class AsyncTrainer:
-    """Feeds a trainer through any of several entries.
+    """Asynchronous client for a trainer, through any of several entries.
 
     Parameters
     ----------
@@ -218,9 +227,9 @@
         URLs of the trainer at the entries, such as
         ``http://10.0.0.1:8000/clinics/trainers/scheduling-trainer``.
     version : int, default=0
-        Weight version that the trainer trains on; `publish` moves it.
+        Weight version that the trainer trains on; `publish` raises it.
     workspace_key : str, optional
-        Key of the workspace, where it wants one.
+        Key of the workspace, if the workspace requires one.
     """
 
     def __init__(
@@ -238,7 +247,10 @@
     async def request_until_answered(
         self, method: str, path: str, body: object = None
     ) -> dict:
-        """Ask until an entry answers; all requests of a trainer may be repeated."""
+        """Repeat a request until an entry answers; return the JSON body.
+
+        All requests of a trainer are safe to repeat.
+        """
         pause = RETRY_PAUSE_S
         while True:
             outcome = await self.client.call(method, path, body)
@@ -250,27 +262,34 @@
             pause = min(2 * pause, MAX_RETRY_PAUSE_S)
 
     async def submit(self, groups: list[Group]) -> int:
-        """Submit groups; return how many were new. An id counts once, ever."""
-        wanted = ("id", "prompt", "samples", "max_tokens", "temperature")
-        value = [{name: getattr(group, name) for name in wanted} for group in groups]
+        """Submit groups; return how many were new.
+
+        A group whose id was submitted at any time before is not accepted again.
+        """
+        fields = ("id", "prompt", "samples", "max_tokens", "temperature")
+        value = [{name: getattr(group, name) for name in fields} for group in groups]
         answer = await self.request_until_answered("POST", "/groups", value)
         return answer["accepted"]
 
     async def step(self, number: int) -> Delivery:
-        """Return a step once it is complete; the same number, the same samples."""
+        """Wait until a step is complete, and return it.
+
+        Repeated calls with the same number return the same samples.
+        """
         query = f"?version={self.version}&wait={STEP_WAIT_S}"
         answer = await self.request_until_answered("GET", f"/steps/{number}{query}")
         samples = cattrs.structure(answer["samples"], list[Sample])
         return Delivery(answer["step"], answer["version"], samples)
 
     async def steps(self, start: int | None = None) -> AsyncIterator[Delivery]:
-        """Yield one step after another.
+        """Yield steps in order, each once it is complete.
 
         Parameters
         ----------
         start : int, optional
-            First step. Without it the last sealed step comes once more: pass the
-            number behind the last step that the checkpoint contains.
+            Number of the first step. By default this is the last sealed step, which
+            is thus delivered again. A trainer that resumes from a checkpoint passes
+            the number after the last step that the checkpoint contains.
         """
         if start is None:
             start = max(1, (await self.request_until_answered("GET", ""))["sealed"])
@@ -279,13 +298,13 @@
             start += 1
 
     async def publish(self, version: int, data: bytes) -> None:
-        """Publish the weights of a version, and train on it from now on."""
+        """Publish the weights of a version, and use that version for later steps."""
         await self.request_until_answered("PUT", f"/weights/{version}", data)
         self.version = max(self.version, version)
 
 
 class BlockingWrapper:
-    """Runs an asynchronous object on an event loop of its own."""
+    """Runs the methods of an asynchronous client on its own event loop."""
 
     def __init__(self, inner):
         self.inner = inner
@@ -300,7 +319,7 @@
 
 
 class Client(BlockingWrapper):
-    """Calls models and services; see `AsyncClient`."""
+    """Blocking client that calls models and services; see `AsyncClient`."""
 
     def __init__(
         self,
@@ -316,7 +335,7 @@
 
 
 class Trainer(BlockingWrapper):
-    """Feeds a trainer; see `AsyncTrainer`."""
+    """Blocking client for a trainer; see `AsyncTrainer`."""
 
     def __init__(
         self, urls: str | list[str], version: int = 0, workspace_key: str = ""
@@ -329,26 +348,26 @@
         return self.inner.version
 
     def submit(self, groups: list[Group]) -> int:
-        """Submit groups; return how many were new. An id counts once, ever."""
+        """Submit groups; return how many were new; see `AsyncTrainer.submit`."""
         return self.runner.run(self.inner.submit(groups))
 
     def step(self, number: int) -> Delivery:
-        """Return a step once it is complete; the same number, the same samples."""
+        """Wait until a step is complete, and return it; see `AsyncTrainer.step`."""
         return self.runner.run(self.inner.step(number))
 
     def steps(self, start: int | None = None) -> Iterator[Delivery]:
-        """Yield one step after another; see `AsyncTrainer.steps`."""
+        """Yield steps in order; see `AsyncTrainer.steps`."""
         steps = self.inner.steps(start)
         while True:
             yield self.runner.run(anext(steps))
 
     def publish(self, version: int, data: bytes) -> None:
-        """Publish the weights of a version, and train on it from now on."""
+        """Publish the weights of a version, and use that version for later steps."""
         self.runner.run(self.inner.publish(version, data))
 
 
 def call(url: str, method: str = "GET", body: object = None, **options) -> Outcome:
-    """Call a model or service at a full URL, once or with safe retries.
+    """Call a model or service at a full URL, with retries; see `AsyncClient.call`.
 
     Parameters
     ----------
@@ -357,7 +376,7 @@
     method : str, default='GET'
     body : bytes or JSON value, optional
     **options
-        As `AsyncClient.call` takes them.
+        Keyword arguments of `AsyncClient.call`.
 
     Returns
     -------
--- a/gypsumshift/daemon.py
+++ b/gypsumshift/daemon.py
@@ -1,4 +1,4 @@
-"""Daemon: ``gypsumshiftd``, one process in the role that its settings name."""
+"""Daemon ``gypsumshiftd``: runs one process, an entry or a sidecar, by its settings."""
 
 import asyncio
 import gc
@@ -23,7 +23,7 @@
 
 
 def make_process(chosen: settings.Settings):
-    """Return the process of the role that the settings name."""
+    """Return a process with the role given in the settings."""
     if chosen.role == "entry":
         from gypsumshift.entry import Entry
 
@@ -34,33 +34,41 @@
 
 
 async def run_process(chosen: settings.Settings) -> int:
-    """Run one process until it is told to leave and has; return the exit status."""
+    """Run a process until a signal ends it or it stops itself; return the exit status.
+
+    A signal (SIGTERM or SIGINT) drains the process first; the status is then 0.
+    """
     loop = asyncio.get_running_loop()
     try:
         process = make_process(chosen)
         await process.start()
     except OSError as error:
-        log.error("Cannot listen on {}: {}.", chosen.host, error.strerror or error)
+        log.error(
+            "Cannot listen on {}: {}; the process exits.",
+            chosen.host,
+            error.strerror or error,
+        )
         return 1
-    # What the start left behind stays for good: spare the collector from it.
+    # Objects created during the start live as long as the process: exclude them from
+    # garbage collection.
     gc.collect()
     gc.freeze()
-    leaving: set[asyncio.Task] = set()
+    drain_tasks: set[asyncio.Task] = set()
 
-    def leave() -> None:
-        # A second signal changes nothing: what runs is still finished.
-        if not leaving:
-            leaving.add(loop.create_task(drain_and_stop(process)))
+    def start_drain() -> None:
+        # A second signal has no effect: running work is finished in any case.
+        if not drain_tasks:
+            drain_tasks.add(loop.create_task(drain_and_stop(process)))
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, leave)
+        loop.add_signal_handler(number, start_drain)
     await process.stopped.wait()
     await process.stop()
-    return 0 if leaving else os.EX_SOFTWARE
+    return 0 if drain_tasks else os.EX_SOFTWARE
 
 
 async def drain_and_stop(process) -> None:
-    """Drain a process, then have it stop."""
+    """Drain a process, then signal that it may stop."""
     await process.drain(DRAIN_DEADLINE_S)
     process.stopped.set()
 
@@ -71,7 +79,7 @@
         pathlib.Path, typer.Option("--settings", help="Settings of this process.")
     ],
 ) -> None:
-    """Run one process of gypsumshift, an entry or a sidecar."""
+    """Run one gypsumshift process, an entry or a sidecar."""
     chosen = settings.load(file)
     if isinstance(chosen, Invalid):
         for problem in chosen.problems:
--- a/gypsumshift/declarations.py
+++ b/gypsumshift/declarations.py
@@ -1,4 +1,4 @@
-"""Declarations: what operators declare, checked whole, with its references."""
+"""Load declarations (pools, workspaces, keys, trainers) and check their references."""
 
 import pathlib
 
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class Catalog:
-    """Declarations with their references resolved.
+    """Valid declarations with their references resolved.
 
     Attributes
     ----------
@@ -30,7 +30,7 @@
     workspaces : dict of str to Parameters
         Effective parameters of each workspace.
     keys : Workspaces
-        Those that take requests with a key only.
+        Workspaces that require a key, with the digests of their keys.
     """
 
     source: dict = attrs.field(factory=dict)
@@ -42,14 +42,14 @@
 
 
 def load(path: pathlib.Path) -> Catalog | Invalid:
-    """Return the declarations in a file, or in all files of a directory."""
+    """Load the declarations in a file, or in all files of a directory."""
     if not path.is_dir():
         files = [path]
     else:
         files = sorted(p for p in path.rglob("*") if p.suffix in SUFFIXES)
     if not files:
-        what = f"no file with {' or '.join(SUFFIXES)}"
-        return Invalid((Problem(str(path), what, "write one"),))
+        what = f"the directory has no file with the suffix {' or '.join(SUFFIXES)}"
+        return Invalid((Problem(str(path), what, "add a file of declarations"),))
     values, problems = {}, []
     for file in files:
         value = documents.read_file(file)
@@ -61,12 +61,12 @@
 
 
 def parse(value: object, name: str) -> Catalog | Invalid:
-    """Return the declarations in one value."""
+    """Check the declarations in a parsed JSON value; ``name`` stands for its file."""
     return merge_files({name: value})
 
 
 def merge_files(values: dict[str, object]) -> Catalog | Invalid:
-    """Return the declarations of several files as one catalog."""
+    """Check the declarations of several files and merge them into one catalog."""
     schema = documents.load_schema(SCHEMA)
     problems = []
     for name, value in values.items():
@@ -89,31 +89,37 @@
         self.locations: dict[tuple[str, str], str] = {}
 
     def add_file(self, name: str, value: dict) -> None:
-        """Take the declarations of one file."""
+        """Add the declarations of a file."""
         for zone in value.get("zones", []):
             if zone in self.zones:
-                self.add_problem(f"{name}: zones", f"{zone!r} stands twice", "drop one")
+                self.add_problem(
+                    f"{name}: zones",
+                    f"the zone {zone!r} is declared twice",
+                    "remove one",
+                )
             self.zones.append(zone)
         for section in SECTIONS:
             for number, item in enumerate(value.get(section, [])):
                 self.add_item(section, item, f"{name}: {section}[{number}]")
 
     def add_item(self, section: str, item: dict, where: str) -> None:
-        """Take one named declaration."""
+        """Add a named declaration; a name already used is a problem."""
         key = (section, item["name"])
         if key in self.locations:
-            what = f"the name {item['name']!r} is taken by {self.locations[key]}"
+            what = (
+                f"the name {item['name']!r} is already taken by {self.locations[key]}"
+            )
             self.add_problem(f"{where}.name", what, "choose another name")
             return
         self.locations[key] = where
         self.by_name[section][item["name"]] = item
 
-    def add_problem(self, where: str, what: str, mend: str) -> None:
-        """Note a problem."""
-        self.problems.append(Problem(where, what, mend))
+    def add_problem(self, where: str, what: str, fix: str) -> None:
+        """Record a problem."""
+        self.problems.append(Problem(where, what, fix))
 
     def check_reference(self, section, name, where) -> bool:
-        """Check that a name is declared."""
+        """Return whether a name is declared; record a problem if it is not."""
         if name in self.by_name[section]:
             return True
         known = ", ".join(self.by_name[section]) or "none is declared"
@@ -121,7 +127,7 @@
         return False
 
     def build_catalog(self) -> Catalog | Invalid:
-        """Check all references; return the catalog."""
+        """Check all references; return the catalog, or all problems found."""
         self.check_pools()
         workspaces = self.check_workspaces()
         keys = self.check_keys()
@@ -143,7 +149,7 @@
         )
 
     def check_pools(self) -> None:
-        """Check the zones of the pools."""
+        """Check that the zones of the pools are declared."""
         for name, pool in self.by_name["pools"].items():
             where = self.locations["pools", name]
             for zone in pool.get("zones", []):
@@ -173,13 +179,21 @@
         return effective
 
     def template_chain(self, name: str, where: str | None) -> list[dict]:
-        """Return a template and those it extends; complains where told a place."""
+        """Return a template and those it extends, directly or not, nearest first.
+
+        A cycle and an undeclared base of the template end the chain. They are recorded
+        as problems at ``where``, if it is given.
+        """
         seen, found = [], []
         while name:
             if name in seen:
                 if where:
                     path = " -> ".join([*seen, name])
-                    self.add_problem(where, f"a cycle: {path}", "break it")
+                    self.add_problem(
+                        where,
+                        f"templates extend each other in a cycle: {path}",
+                        "remove one of these references",
+                    )
                 break
             if name not in self.by_name["templates"]:
                 if where and len(seen) == 1:
@@ -191,7 +205,7 @@
         return found
 
     def check_parameters(self, item: dict, where: str) -> None:
-        """Check the pools that parameters name."""
+        """Check that the pools named in parameters are declared."""
         parameters = item.get("parameters", {})
         pool = parameters.get("model_pool")
         if pool:
@@ -202,7 +216,7 @@
             )
 
     def check_keys(self) -> Workspaces:
-        """Check the workspaces of the keys; return them with their digests."""
+        """Check the keys; return their workspaces with the digests of the keys."""
         digests: dict[str, set[str]] = {}
         names: dict[str, str] = {}
         for name, key in self.by_name["keys"].items():
@@ -210,8 +224,8 @@
             self.check_reference("workspaces", key["workspace"], f"{where}.workspace")
             other = names.setdefault(key["digest"], name)
             if other != name:
-                what = f"the key is that of {other!r}"
-                self.add_problem(f"{where}.digest", what, "make another one")
+                what = f"the digest is already that of the key {other!r}"
+                self.add_problem(f"{where}.digest", what, "create another key")
             digests.setdefault(key["workspace"], set()).add(key["digest"])
         return Workspaces(
             Workspace(name, frozenset(found)) for name, found in digests.items()
@@ -227,5 +241,5 @@
             if not self.check_reference("pools", trainer["pool"], f"{where}.pool"):
                 continue
             if self.by_name["pools"][trainer["pool"]]["kind"] != "model":
-                what = f"the pool {trainer['pool']!r} serves no model"
+                what = f"the pool {trainer['pool']!r} is not of kind model"
                 self.add_problem(f"{where}.pool", what, "name a pool of kind model")
--- a/gypsumshift/documents.py
+++ b/gypsumshift/documents.py
@@ -1,4 +1,4 @@
-"""Documents: JSON with comments, read and checked against a JSON Schema."""
+"""Read files of JSON with comments, and check them against a JSON Schema."""
 
 import importlib.resources
 import json
@@ -13,18 +13,19 @@
 
 __all__ = ["build", "check_against_schema", "parse", "read_file", "load_schema"]
 
+# Message of json5: the input's name, the line, and the error.
 PARSER_MESSAGE = re.compile(r"^(?:<string>|[^:]*):(\d+)\s*(.*)$", re.DOTALL)
 MAX_SHOWN_VALUE = 60
 
 
 def load_schema(name: str) -> dict:
-    """Return the JSON Schema of that file name."""
+    """Return the JSON Schema in a file that is part of this package."""
     folder = importlib.resources.files("gypsumshift.generated")
     return json.loads((folder / name).read_text())
 
 
 def read_file(path: pathlib.Path) -> object | Invalid:
-    """Return the value in a file of JSON with comments."""
+    """Parse a file of JSON with comments."""
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
@@ -33,13 +34,15 @@
         )
         return Invalid((problem,))
     except UnicodeDecodeError:
-        problem = Problem(str(path), "not UTF-8", "save the file as UTF-8 text")
+        problem = Problem(
+            str(path), "the file is not UTF-8 text", "save the file as UTF-8 text"
+        )
         return Invalid((problem,))
     return parse(text, str(path))
 
 
 def parse(text: str, name: str) -> object | Invalid:
-    """Return the value in a text of JSON with comments."""
+    """Parse a text of JSON with comments; ``name`` stands for its file."""
     if not text.strip():
         return Invalid((Problem(name, "the file is empty", "write an object: {}"),))
     try:
@@ -47,31 +50,33 @@
     except ValueError as error:
         return Invalid((syntax_problem(str(error), text, name),))
     except RecursionError:
-        return Invalid((Problem(name, "nested too deep", "write fewer levels"),))
+        return Invalid(
+            (Problem(name, "nested too deeply to be parsed", "use fewer levels"),)
+        )
 
 
 def syntax_problem(message: str, text: str, name: str) -> Problem:
-    """Return the problem that a parser's message describes."""
-    found = PARSER_MESSAGE.match(message)
-    where = f"{name}:{found[1]}" if found else name
-    what = " ".join((found[2] if found else message).split())
+    """Return the problem that an error message of the parser describes."""
+    match = PARSER_MESSAGE.match(message)
+    where = f"{name}:{match[1]}" if match else name
+    what = " ".join((match[2] if match else message).split())
     if has_unclosed_comment(text):
         line = text[: text.rindex("/*")].count("\n") + 1
         return Problem(f"{name}:{line}", "a comment is not closed", "end it with */")
-    mend = "write JSON; comments with // or /* */ are allowed"
+    fix = "write JSON; comments with // or /* */ are allowed"
     if "uplicate" in what:
-        mend = "keep one of the two keys"
-    return Problem(where, what, mend)
+        fix = "keep one of the two keys"
+    return Problem(where, what, fix)
 
 
 def has_unclosed_comment(text: str) -> bool:
-    """Tell whether the last comment of a text lacks its end."""
+    """Return whether the last block comment of a text is not closed."""
     start = text.rfind("/*")
     return start >= 0 and "*/" not in text[start:]
 
 
 def check_against_schema(value: object, schema: dict, name: str) -> list[Problem]:
-    """Return what a JSON Schema finds wrong with a value."""
+    """Return all violations of a JSON Schema by a value, ordered by path."""
     validator = jsonschema.Draft202012Validator(
         schema, format_checker=jsonschema.Draft202012Validator.FORMAT_CHECKER
     )
@@ -80,12 +85,12 @@
 
 
 def schema_problem(error: jsonschema.ValidationError, name: str) -> Problem:
-    """Return the problem that a validator's error describes."""
+    """Return the problem that an error of the JSON Schema validator describes."""
     path = "".join(
         f"[{part}]" if isinstance(part, int) else f".{part}" for part in error.path
     )
     where = f"{name}: {path.lstrip('.') or 'the top level'}"
-    mend = error.schema.get("description", "see the schema")
+    expected = error.schema.get("description", "see the schema")
     if error.validator == "additionalProperties":
         allowed = ", ".join(error.schema.get("properties", {}))
         return Problem(where, error.message, f"use one of: {allowed}")
@@ -93,10 +98,10 @@
         return Problem(where, error.message, "add it")
     what = error.message
     if len(what) > 2 * MAX_SHOWN_VALUE:
-        what = f"{str(error.instance)[:MAX_SHOWN_VALUE]}… breaks {error.validator!r}"
-    return Problem(where, what, f"expected: {mend[0].lower()}{mend[1:]}")
+        what = f"{str(error.instance)[:MAX_SHOWN_VALUE]}… violates {error.validator!r}"
+    return Problem(where, what, f"expected: {expected[0].lower()}{expected[1:]}")
 
 
 def build(value: object, kind: type):
-    """Return a checked value as an object of a generated class."""
+    """Convert a checked value to an object of a generated class."""
     return cattrs.structure(value, kind)
--- a/gypsumshift/events.py
+++ b/gypsumshift/events.py
@@ -1,7 +1,7 @@
-"""Events: a bounded record of what a process did, ordered over all processes.
+"""Record the latest events of a process, and order the events of all processes.
 
-Timestamps are hybrid logical clocks: they follow the wall clock, and an event
-that could have caused another is never ordered behind it.
+Timestamps come from hybrid logical clocks: they follow the wall clock, and an event
+that may have caused another has the earlier timestamp.
 """
 
 import collections
@@ -26,7 +26,7 @@
     time_us : int
         Microseconds since 1970.
     tick : int
-        Order among timestamps of one microsecond.
+        Order among timestamps with the same microsecond.
     """
 
     time_us: int
@@ -47,15 +47,15 @@
         self.last = Timestamp(0, 0)
 
     def tick(self) -> Timestamp:
-        """Return a timestamp later than all before."""
+        """Return a timestamp later than all earlier ones of this clock."""
         return self.advance(self.last)
 
     def observe(self, other: Timestamp) -> None:
-        """Move past a timestamp that came with a message."""
+        """Advance the clock past a timestamp received with a message."""
         self.advance(max(self.last, other))
 
     def advance(self, floor: Timestamp) -> Timestamp:
-        """Move past ``floor``, to the wall clock where that is later."""
+        """Set the clock to the wall time or just past ``floor``, whichever is later."""
         wall = int(self.clock.now().timestamp() * 1_000_000)
         if wall > floor.time_us:
             self.last = Timestamp(wall, 0)
@@ -65,7 +65,7 @@
 
 
 class EventRecorder:
-    """Bounded ring of the events of one process, and its traffic with peers.
+    """Keeps the latest events of a process, and counts its bytes exchanged with peers.
 
     Parameters
     ----------
@@ -82,7 +82,7 @@
         self.bytes_sent = self.bytes_received = 0
 
     def record(self, kind: str, subject: str, detail: str = "") -> None:
-        """Record that ``kind`` happened to ``subject``."""
+        """Record an event of a kind that concerns ``subject``."""
         stamp = self.hybrid.tick()
         event = messages.Event(
             stamp.time_us,
@@ -95,17 +95,17 @@
         self.ring.append(event)
 
     def latest_events(self, subject: str, limit: int) -> list[messages.Event]:
-        """Return the latest events that name ``subject``; all where it is empty."""
-        chosen = [event for event in self.ring if names_subject(event, subject)]
-        return chosen[-limit:]
+        """Return the latest events that name ``subject``, or all if it is empty."""
+        matching = [event for event in self.ring if names_subject(event, subject)]
+        return matching[-limit:]
 
 
 def names_subject(event: messages.Event, subject: str) -> bool:
-    """Tell whether an event is about ``subject``."""
+    """Return whether the event's subject or detail contains ``subject``."""
     return not subject or subject in event.subject or subject in event.detail
 
 
 def merge_events(events: list[messages.Event]) -> list[messages.Event]:
-    """Return the events of several processes in one order, each once."""
+    """Return the events of several processes by timestamp, without duplicates."""
     unique = {(e.process, e.time_us, e.tick): e for e in events}
     return sorted(unique.values(), key=lambda e: (e.time_us, e.tick, e.process))
--- a/gypsumshift/keycommands.py
+++ b/gypsumshift/keycommands.py
@@ -1,4 +1,4 @@
-"""Key commands: ``gypsumshift keys``, which gives and takes keys of workspaces."""
+"""Commands ``gypsumshift keys``: add, remove and list the keys of workspaces."""
 
 import json
 import pathlib
@@ -13,19 +13,19 @@
 
 __all__ = ["keys_app"]
 
-keys_app = typer.Typer(help="Give and take keys of workspaces, in declarations.")
+keys_app = typer.Typer(help="Manage the keys of workspaces in declarations.")
 Folder = Annotated[pathlib.Path, typer.Argument(help="Folder of declarations.")]
 
 
 def exit_for_invalid(outcome: Invalid) -> typer.Exit:
-    """Say what is wrong, a line each; return what ends the command."""
+    """Print each problem on a line; return the exception that ends the command."""
     for problem in outcome.problems:
         print(f"gypsumshift: {problem}", file=sys.stderr)
     return typer.Exit(EXIT_INVALID)
 
 
 def check_folder(folder: pathlib.Path) -> None:
-    """End the command where there is no such folder."""
+    """End the command if the folder does not exist."""
     if not folder.is_dir():
         print(f"gypsumshift: there is no folder {str(folder)!r}", file=sys.stderr)
         raise typer.Exit(EXIT_INVALID)
@@ -33,26 +33,30 @@
 
 @keys_app.command("add")
 def add(folder: Folder, workspace: str, name: str) -> None:
-    """Make a key NAME of a workspace, and print it: it is shown this once."""
+    """Create a key called NAME for a workspace; it is printed this once only."""
     check_folder(folder)
-    made = keyfile.add_key(folder, workspace, name)
-    if isinstance(made, Invalid):
-        raise exit_for_invalid(made)
-    print(made.text)
-    told = (
-        f"{folder / keyfile.KEY_FILE} holds its digest; 'gypsumshift apply' to use it"
+    new_key = keyfile.add_key(folder, workspace, name)
+    if isinstance(new_key, Invalid):
+        raise exit_for_invalid(new_key)
+    print(new_key.text)
+    hint = (
+        f"its digest is stored in {folder / keyfile.KEY_FILE}; "
+        "run 'gypsumshift apply' to put the key in force"
     )
-    print(told, file=sys.stderr)
+    print(hint, file=sys.stderr)
 
 
 @keys_app.command("remove")
 def remove(folder: Folder, name: str) -> None:
-    """Take the key NAME away."""
+    """Remove the key called NAME."""
     check_folder(folder)
     outcome = keyfile.remove_key(folder, name)
     if isinstance(outcome, Invalid):
         raise exit_for_invalid(outcome)
-    print(f"{name} is taken away once 'gypsumshift apply' has put that in force")
+    print(
+        f"{name} is removed from the declarations; "
+        "it stays valid until 'gypsumshift apply' puts them in force"
+    )
 
 
 @keys_app.command("list")
@@ -60,7 +64,7 @@
     folder: Folder,
     as_json: Annotated[bool, typer.Option("--json", help="Print JSON.")] = False,
 ) -> None:
-    """Show the keys of a folder by name, workspace and digest."""
+    """List the keys in a folder of declarations with their workspaces and digests."""
     check_folder(folder)
     keys = keyfile.list_keys(folder)
     if isinstance(keys, Invalid):
--- a/gypsumshift/keyfile.py
+++ b/gypsumshift/keyfile.py
@@ -1,6 +1,6 @@
-"""Key file: the keys of a folder of declarations, in a file that the tool writes.
+"""Manage the keys of workspaces in a file within a folder of declarations.
 
-Only digests are kept. A key is shown once, when it is made.
+The file holds digests only; a key itself is shown once, when it is created.
 """
 
 import json
@@ -15,22 +15,22 @@
 
 __all__ = ["KEY_FILE", "NewKey", "add_key", "list_keys", "remove_key"]
 
-# File in the folder of declarations. Others may hold keys as well; this one the tool
-# rewrites, so it keeps no comments.
+# Name of the key file in a folder of declarations. Other files of the folder may
+# declare keys as well. This one is rewritten with each change, so it has no comments.
 KEY_FILE = "keys.json"
-# Bytes of chance in a key: nobody guesses one.
+# Random bytes in a key: enough that a key cannot be guessed.
 KEY_BYTES = 20
 
 
 @attrs.frozen
 class NewKey:
-    """A key that was just made.
+    """A newly created key.
 
     Attributes
     ----------
     name : str
     text : str
-        What callers send; it is kept nowhere.
+        Secret that callers send; it is not stored.
     """
 
     name: str
@@ -38,7 +38,7 @@
 
 
 def read_keys(folder: pathlib.Path) -> list[dict] | Invalid:
-    """Return the declared keys in the file of a folder."""
+    """Return the keys in a folder's key file; Invalid if any file is invalid."""
     path = folder / KEY_FILE
     if not path.exists():
         return []
@@ -50,26 +50,29 @@
 
 
 def write_keys(folder: pathlib.Path, keys: list[dict]) -> None:
-    """Write the declared keys of a folder, whole or not at all."""
+    """Replace a folder's key file atomically."""
     path = folder / KEY_FILE
-    unfinished = path.with_suffix(".json.new")
-    unfinished.write_text(json.dumps({"keys": keys}, indent=2) + "\n")
-    unfinished.replace(path)
+    temporary = path.with_suffix(".json.new")
+    temporary.write_text(json.dumps({"keys": keys}, indent=2) + "\n")
+    temporary.replace(path)
 
 
 def add_key(folder: pathlib.Path, workspace: str, name: str) -> NewKey | Invalid:
-    """Make a key of a workspace; the folder is left as it is where that is wrong."""
+    """Create a key for a workspace and add it to a folder's key file.
+
+    If the declarations with the new key are invalid, the file is left unchanged.
+    """
     keys = read_keys(folder)
     if isinstance(keys, Invalid):
         return keys
     text = secrets.token_urlsafe(KEY_BYTES)
     key = {"name": name, "workspace": workspace, "digest": key_digest(text)}
-    before = (folder / KEY_FILE).exists()
+    existed = (folder / KEY_FILE).exists()
     write_keys(folder, [*keys, key])
     catalog = declarations.load(folder)
     if not isinstance(catalog, Invalid):
         return NewKey(name, text)
-    if before:
+    if existed:
         write_keys(folder, keys)
     else:
         (folder / KEY_FILE).unlink()
@@ -77,20 +80,22 @@
 
 
 def remove_key(folder: pathlib.Path, name: str) -> Invalid | None:
-    """Take a key away; return what is wrong where there is no such key."""
+    """Remove a key from a folder's key file; return the problem if it is not there."""
     keys = read_keys(folder)
     if isinstance(keys, Invalid):
         return keys
-    left = [key for key in keys if key["name"] != name]
-    if len(left) == len(keys):
+    remaining = [key for key in keys if key["name"] != name]
+    if len(remaining) == len(keys):
         known = ", ".join(key["name"] for key in keys) or "none"
         where = str(folder / KEY_FILE)
-        return Invalid((Problem(where, f"no key {name!r}", f"it holds: {known}"),))
-    write_keys(folder, left)
+        return Invalid(
+            (Problem(where, f"there is no key {name!r}", f"the file has: {known}"),)
+        )
+    write_keys(folder, remaining)
     return None
 
 
 def list_keys(folder: pathlib.Path) -> list[dict] | Invalid:
-    """Return the keys of all files of a folder: name, workspace and digest."""
+    """Return the keys in all files of a folder: name, workspace and digest."""
     catalog = declarations.load(folder)
     return catalog if isinstance(catalog, Invalid) else catalog.source["keys"]
--- a/gypsumshift/operatorclient.py
+++ b/gypsumshift/operatorclient.py
@@ -33,13 +33,13 @@
 
 @attrs.define
 class OperatorClient:
-    """The operator face that the commands speak to.
+    """Client of an entry's operator API.
 
     Attributes
     ----------
     url : str
     token : str
-        Bearer token; empty where none is asked for.
+        Bearer token; empty if none is sent.
     """
 
     url: str = DEFAULT_OPERATOR
@@ -48,7 +48,7 @@
     def send_request(
         self, method: str, target: str, value=None, body: bytes = b""
     ) -> FetchedResponse:
-        """Send one request; ends the command where nobody answers."""
+        """Send a request; end the command if it gets no response."""
         parts = urllib.parse.urlsplit(self.url)
         address = (parts.hostname, parts.port or 80)
         headers = [("content-type", "application/json")]
@@ -63,10 +63,13 @@
             return asyncio.run(fetch)
         except FetchError as error:
             hint = "name an entry's operator address with --operator"
-            fail(f"{self.url}: {error}; {hint}", EXIT_UNAVAILABLE)
+            fail(
+                f"{method} {target} got no response from {self.url}: {error}; {hint}",
+                EXIT_UNAVAILABLE,
+            )
 
     def get_json(self, target: str):
-        """Return the JSON value at a target; ends the command where refused."""
+        """Return the JSON value at a target; end the command on any error status."""
         answer = self.send_request("GET", target)
         if answer.status != 200:
             fail_with_problem(answer)
@@ -74,13 +77,16 @@
 
 
 def fail(message: str, status: int):
-    """Print one line to standard error and end the command."""
+    """Print a message to standard error, and end the command with an exit status."""
     print(f"gypsumshift: {message}", file=sys.stderr)
     raise typer.Exit(status)
 
 
 def fail_with_problem(answer: FetchedResponse):
-    """End the command as a problem document says."""
+    """Print the problem document of a failed request, and end the command.
+
+    The exit status follows from the HTTP status.
+    """
     try:
         value = json.loads(answer.body)
     except ValueError:
@@ -91,4 +97,7 @@
         print(f"gypsumshift: the other change: {line}", file=sys.stderr)
     statuses = {409: EXIT_CONFLICT, 422: EXIT_INVALID, 504: EXIT_UNKNOWN}
     status = statuses.get(answer.status, EXIT_UNAVAILABLE)
-    fail(value.get("detail", "refused"), status)
+    fail(
+        value.get("detail", f"the request was refused with status {answer.status}"),
+        status,
+    )
--- a/tests/test_key_commands.py
+++ b/tests/test_key_commands.py
@@ -82,7 +82,7 @@
     value = SOURCE | {"keys": [key | {"name": "a"}, key | {"name": "b"}]}
     outcome = declarations.parse(value, "declarations")
     assert isinstance(outcome, Invalid)
-    assert "the key is that of 'a'" in str(outcome.problems[0])
+    assert "the digest is already that of the key 'a'" in str(outcome.problems[0])
 
 
 def test_a_workspace_with_keys_takes_requests_with_one_of_them_only():
