--- a/gypsumshift/operatorapi.py
+++ b/gypsumshift/operatorapi.py
@@ -39,9 +39,9 @@
 
 
 def diff_declarations(old: dict, new: dict) -> list[str]:
-    """Return what changes from one revision's declarations to another's, line by line.
+    """Return the changes between two revisions' declarations, one line for each.
 
-    Lines begin with ``+`` (new), ``-`` (gone) or ``~`` (changed, with the fields).
+    Lines begin with ``+`` (added), ``-`` (removed) or ``~`` (changed, with the field).
     """
     lines = []
     for zone in sorted(set(new.get("zones", [])) ^ set(old.get("zones", []))):
@@ -63,7 +63,7 @@
 
 
 def changed_fields(old: dict, new: dict, path: str = "") -> list[str]:
-    """Return the fields that differ between two declarations of one thing."""
+    """Return a line for each field that differs between two versions of an object."""
     lines = []
     for key in sorted(old.keys() | new.keys()):
         before, after = old.get(key), new.get(key)
@@ -79,11 +79,12 @@
 
 
 class OperatorApi:
-    """Answers operators; any entry can.
+    """Answers the HTTP requests of operators; each entry has one.
 
     Parameters
     ----------
     process : Process
+        The entry.
     """
 
     def __init__(self, process: Process):
@@ -94,37 +95,37 @@
         self.token = operator_token(process.settings)
 
     async def serve(self, request: Request) -> Response | None:
-        """Answer one request; None where the path is none of ours."""
+        """Answer a request; return None if this API does not have the path."""
         if request.path not in OPEN_PATHS and not self.is_authorized(request):
-            detail = "this address asks for a bearer token"
+            detail = "operator requests need the bearer token of this entry's settings"
             return unauthorized(detail)
         method, path = request.method, request.path
         handlers = {
-            ("GET", "/v1/revisions"): self.revisions,
+            ("GET", "/v1/revisions"): self.list_revisions,
             ("POST", "/v1/plan"): self.plan,
             ("POST", "/v1/apply"): self.apply,
-            ("GET", "/v1/status"): self.status,
-            ("GET", "/v1/timeline"): self.timeline,
+            ("GET", "/v1/status"): self.show_status,
+            ("GET", "/v1/timeline"): self.show_timeline,
             ("POST", "/v1/drain"): self.drain,
             ("DELETE", "/v1/drain"): self.undo_drain,
-            ("GET", "/v1/weights"): self.weights,
-            ("PUT", "/v1/weights"): self.publish,
+            ("GET", "/v1/weights"): self.show_weights,
+            ("PUT", "/v1/weights"): self.publish_weights,
         }
         if (method, path) in handlers:
             return await handlers[method, path](request)
         if method == "GET" and path.startswith("/v1/revisions/"):
-            return await self.revision(path.rpartition("/")[2])
+            return await self.show_revision(path.rpartition("/")[2])
         return None
 
     def is_authorized(self, request: Request) -> bool:
-        """Tell whether a request carries the token that the settings ask for."""
+        """Return whether a request carries the operator token, if one is configured."""
         if not self.token:
             return True
         return hmac.compare_digest(bearer_token(request).encode(), self.token.encode())
 
     # Declarations
 
-    async def revisions(self, request: Request) -> Response:
+    async def list_revisions(self, request: Request) -> Response:
         """List all accepted revisions, without their declarations."""
         found = await self.revision_history.read_all()
         if isinstance(found, Unavailable):
@@ -134,8 +135,8 @@
             del row["declarations"], row["token"]
         return json_response(200, rows)
 
-    async def revision(self, text: str) -> Response:
-        """Show one revision; ``newest`` names the newest."""
+    async def show_revision(self, text: str) -> Response:
+        """Show the revision with a number, or the newest one for ``newest``."""
         number = (
             await self.revision_history.read_newest_number()
             if text == "newest"
@@ -158,20 +159,26 @@
         if isinstance(number, Unavailable):
             return number
         found = await self.revision_history.read_revision(number)
-        return Unavailable("its row is gone") if isinstance(found, Missing) else found
+        return (
+            Unavailable(f"the store has no row for revision {number}")
+            if isinstance(found, Missing)
+            else found
+        )
 
     def read_body(self, request: Request) -> dict | Response:
-        """Return the JSON object in a request's body."""
+        """Return the JSON object in a request's body, or the error response."""
         try:
             value = json.loads(request.body)
         except ValueError as error:
             return problem_response(400, "not run", f"the body is not JSON: {error}")
         if not isinstance(value, dict) or "declarations" not in value:
-            return problem_response(422, "not run", "the body lacks declarations")
+            return problem_response(
+                422, "not run", "the body is not a JSON object with 'declarations'"
+            )
         return value
 
     async def plan(self, request: Request) -> Response:
-        """Check declarations and show what they would change."""
+        """Check declarations, and show how they differ from the newest revision."""
         value = self.read_body(request)
         if isinstance(value, Response):
             return value
@@ -185,14 +192,16 @@
         return json_response(200, {"base": newest.number, "difference": lines})
 
     async def apply(self, request: Request) -> Response:
-        """Accept declarations on top of the revision that was planned on."""
+        """Accept declarations as the next revision if their base is the newest one."""
         value = self.read_body(request)
         if isinstance(value, Response):
             return value
         base = value.get("base")
         if not isinstance(base, int) or base < 0:
             return problem_response(
-                422, "not run", "base takes the planned revision's number"
+                422,
+                "not run",
+                f"base is {base!r}; it must be the number of the planned revision",
             )
         catalog = declarations.parse(value["declarations"], "declarations")
         if isinstance(catalog, Invalid):
@@ -211,13 +220,16 @@
             self.process.adopt_revision(outcome.number, text)
             return json_response(200, {"number": outcome.number})
         if isinstance(outcome, Conflict):
-            return await self.conflict(base, outcome)
+            return await self.conflict_response(base, outcome)
         if isinstance(outcome, Unknown):
             return problem_response(504, "unknown", outcome.reason, retry_after=1.0)
         return platform_error_response(outcome)
 
-    async def conflict(self, base: int, outcome: Conflict) -> Response:
-        """Answer an apply that another operator's overtook, with that change."""
+    async def conflict_response(self, base: int, outcome: Conflict) -> Response:
+        """Return the response to an apply whose base is not the newest revision.
+
+        It contains the changes made since the base.
+        """
         old, new = await asyncio.gather(
             self.revision_history.read_revision(base), self.read_newest()
         )
@@ -229,24 +241,24 @@
 
     # Processes
 
-    async def query_all_processes(self, question: Body) -> dict[str, Body | None]:
-        """Ask all known processes; None for those that do not answer."""
+    async def query_all_processes(self, query: Body) -> dict[str, Body | None]:
+        """Send a query to all known processes; return None for those without answer."""
         slots = asyncio.Semaphore(CONCURRENT_QUERIES)
 
-        async def ask(known) -> Body | None:
+        async def query_peer(peer) -> Body | None:
             async with slots:
                 try:
-                    link = self.process.connection(known.address)
-                    return await link.call(question, QUERY_TIMEOUT_S)
+                    connection = self.process.connection(peer.address)
+                    return await connection.call(query, QUERY_TIMEOUT_S)
                 except PeerConnectionError:
                     return None
 
-        known = dict(self.process.membership.peers)
-        answers = await asyncio.gather(*(ask(each) for each in known.values()))
-        return dict(zip(known, answers, strict=True))
+        peers = dict(self.process.membership.peers)
+        answers = await asyncio.gather(*(query_peer(peer) for peer in peers.values()))
+        return dict(zip(peers, answers, strict=True))
 
-    async def status(self, request: Request) -> Response:
-        """Show all known processes and what each has in force."""
+    async def show_status(self, request: Request) -> Response:
+        """Show all known processes, the revisions in force and the gauges of each."""
         answers = await self.query_all_processes(
             Body(pull_status=messages.PullStatus())
         )
@@ -260,11 +272,11 @@
         rows.sort(key=lambda row: (row["role"], row["name"]))
         return json_response(200, rows)
 
-    async def timeline(self, request: Request) -> Response:
-        """Show the events of all processes about one subject, in one order."""
+    async def show_timeline(self, request: Request) -> Response:
+        """Show the events of all processes that concern a subject, ordered by time."""
         subject = request.parameter("subject")
-        question = Body(pull_events=messages.PullEvents(subject, MAX_EVENTS))
-        answers = await self.query_all_processes(question)
+        query = Body(pull_events=messages.PullEvents(subject, MAX_EVENTS))
+        answers = await self.query_all_processes(query)
         events = self.process.recorder.latest_events(subject, MAX_EVENTS)
         for answer in answers.values():
             if answer is not None and answer.events is not None:
@@ -274,68 +286,71 @@
         return json_response(200, {"events": rows, "silent": silent})
 
     async def drain(self, request: Request) -> Response:
-        """Have one backend server or process take no new work."""
+        """Drain a backend server or a process, so that it accepts no new work.
+
+        For a sidecar the order is stored first, so that it outlasts a restart.
+        """
         name = request.parameter("name")
-        chosen = [
-            known
-            for known in self.process.membership.peers.values()
-            if name and name in (known.member.name, known.member.backend)
+        peers = [
+            peer
+            for peer in self.process.membership.peers.values()
+            if name and name in (peer.member.name, peer.member.backend)
         ]
-        if not chosen:
-            detail = f"no process or backend server {name!r} is known here"
+        if not peers:
+            detail = f"this entry knows no process or backend server {name!r}"
             return problem_response(404, "not run", detail)
-        for known in chosen:
-            if known.member.role == Role.SIDECAR:
-                key = LEAVING_PREFIX + known.member.backend
+        for peer in peers:
+            if peer.member.role == Role.SIDECAR:
+                key = LEAVING_PREFIX + peer.member.backend
                 write = Write(HEADS_TABLE, key, {"leaving": True})
                 outcome = await self.tables.commit([write])
                 if not isinstance(outcome, Committed):
                     return platform_error_response(outcome)
         order = Body(drain=messages.Drain(DRAIN_DEADLINE_MS))
-        told = []
-        for known in chosen:
-            known.member.leaving = True
+        notified = []
+        for peer in peers:
+            peer.member.leaving = True
             try:
-                await self.process.connection(known.address).call(
-                    order, QUERY_TIMEOUT_S
-                )
-                told.append(known.member.name)
+                await self.process.connection(peer.address).call(order, QUERY_TIMEOUT_S)
+                notified.append(peer.member.name)
             except PeerConnectionError:
                 continue
-        return json_response(200, {"told": told})
+        return json_response(200, {"told": notified})
 
     async def undo_drain(self, request: Request) -> Response:
-        """Take back a drain; the sidecar that is started next takes work again."""
+        """Delete a stored drain order; the sidecar accepts work after a restart."""
         name = request.parameter("name")
         outcome = await self.tables.commit([Write(HEADS_TABLE, LEAVING_PREFIX + name)])
         if not isinstance(outcome, Committed):
             return platform_error_response(outcome)
         return json_response(200, {"undone": name})
 
-    async def weights(self, request: Request) -> Response:
-        """Show the newest version of each pool, and which backend server has what."""
+    async def show_weights(self, request: Request) -> Response:
+        """Show the newest version of each pool, and those loaded by its servers."""
         rows = await self.tables.scan(HEADS_TABLE, WEIGHTS_PREFIX)
         if isinstance(rows, Unavailable):
             return platform_error_response(rows)
         pools = {}
         for row in rows:
             pool = row.key.removeprefix(WEIGHTS_PREFIX)
-            loads = {
-                known.member.backend: known.load.version if known.load else None
-                for known in self.process.membership.sidecars(pool)
+            loaded_versions = {
+                peer.member.backend: peer.load.version if peer.load else None
+                for peer in self.process.membership.sidecars(pool)
             }
-            pools[pool] = row.value | {"backends": loads}
+            pools[pool] = row.value | {"backends": loaded_versions}
         return json_response(200, pools)
 
-    async def publish(self, request: Request) -> Response:
-        """Publish weights of a pool."""
+    async def publish_weights(self, request: Request) -> Response:
+        """Publish the request's body as a weight version of a pool."""
         pool, version = request.parameter("pool"), request.parameter("version")
         declared = self.process.active_revision.catalog.pools.get(pool)
         if declared is None or declared.kind != "model":
             return problem_response(404, "not run", f"there is no model pool {pool!r}")
         if not version.isdigit() or int(version) < 1:
             return problem_response(
-                422, "not run", "version takes a whole number from 1"
+                422,
+                "not run",
+                f"version is {version!r}; it must be a whole number of at least 1",
             )
         outcome = await self.publisher.publish(
             pool, int(version), request.body, "operator"
@@ -346,7 +361,7 @@
 
 
 def status_row(status: messages.Status) -> dict:
-    """Return one process's status as JSON."""
+    """Return the status of a process that answered, as JSON."""
     member = status.member
     row = member_row(member) | {"answers": True, "revision": status.revision}
     row["figures"] = {figure.name: figure.value for figure in status.figures}
@@ -354,7 +369,7 @@
 
 
 def member_row(member: messages.Member) -> dict:
-    """Return what is known of a process that does not answer."""
+    """Return the status of a process that did not answer, from its membership entry."""
     return {
         "name": member.name,
         "role": Role._VALUES_TO_NAMES[member.role].lower(),
@@ -371,22 +386,22 @@
 
 
 def event_row(event: messages.Event) -> dict:
-    """Return one event as JSON."""
+    """Return an event as JSON."""
     names = ("time_us", "tick", "process", "kind", "subject", "detail")
     return {name: getattr(event, name) for name in names}
 
 
 def platform_error_response(outcome) -> Response:
-    """Return the answer for a platform that cannot be asked."""
+    """Return the response for a platform error: 503, or 504 for an unknown outcome."""
     reason = getattr(outcome, "reason", "") or "no reason given"
     if isinstance(outcome, Unknown):
         return problem_response(504, "unknown", reason, retry_after=1.0)
-    detail = f"the platform cannot be asked: {reason}"
+    detail = f"the platform is unavailable: {reason}"
     return problem_response(503, "not run", detail, retry_after=1.0)
 
 
 def invalid_response(outcome: Invalid) -> Response:
-    """Return the answer for rejected declarations."""
+    """Return the response for rejected declarations, with all problems."""
     problems = [str(each) for each in outcome.problems]
     detail = "the declarations were rejected; nothing was accepted"
     return problem_response(422, "not run", detail, problems=problems)
--- a/gypsumshift/timeline.py
+++ b/gypsumshift/timeline.py
@@ -1,4 +1,4 @@
-"""Timeline: the merged events of all processes, as text or as one HTML page."""
+"""Render the merged events of all processes as text or as an HTML page."""
 
 import datetime
 import html
@@ -24,14 +24,14 @@
 
 
 def format_time(event: dict) -> str:
-    """Return an event's time of day, UTC, with its tick where it has one."""
+    """Return an event's time of day in UTC, with its tick unless that is 0."""
     time = datetime.datetime.fromtimestamp(event["time_us"] / 1e6, datetime.UTC)
     tick = f"+{event['tick']}" if event["tick"] else ""
     return f"{time:%H:%M:%S.%f}{tick}"
 
 
 def as_text(events: list[dict]) -> str:
-    """Return one line per event."""
+    """Render events as text, a line for each."""
     width = max((len(event["process"]) for event in events), default=0)
     lines = []
     for event in events:
@@ -42,7 +42,10 @@
 
 
 def as_html(events: list[dict], subject: str) -> str:
-    """Return a self-contained page with a row per event and a filter."""
+    """Render events as a self-contained HTML page: a table with a filter field.
+
+    Each process has a colour; there are `HUES` of them.
+    """
     names = sorted({event["process"] for event in events})
     hues = {name: index % HUES * 360 // HUES for index, name in enumerate(names)}
     rows = []
@@ -56,14 +59,14 @@
         inner = "".join(f"<td>{html.escape(cell)}</td>" for cell in cells)
         inner = inner.replace("<td>", '<td class="time">', 1)
         rows.append(f'<tr style="{colour}">{inner}</tr>')
-    title = html.escape(f"Time line of {subject or 'everything'}")
-    heads = "".join(
-        f"<th>{h}</th>" for h in ("Time", "Process", "Event", "Of", "Detail")
+    title = html.escape(f"Timeline of {subject or 'all events'}")
+    header = "".join(
+        f"<th>{h}</th>" for h in ("Time", "Process", "Event", "Subject", "Detail")
     )
     return (
         f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{title}</title>'
         f"<style>{STYLE}</style><h1>{title}</h1>"
         '<input id="filter" placeholder="Show only rows with this text">'
-        f"<table><thead><tr>{heads}</tr></thead><tbody>{''.join(rows)}</tbody></table>"
+        f"<table><thead><tr>{header}</tr></thead><tbody>{''.join(rows)}</tbody></table>"
         f"<script>{SCRIPT}</script></html>"
     )
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -290,7 +290,7 @@
     async def operator(
         self, method: str, target: str, value: object = None, entry: int = 0
     ) -> FetchedResponse:
-        """Ask an entry's operator face."""
+        """Send a request to an entry's operator API."""
         body = json.dumps(value).encode() if value is not None else b""
         port = self.entries()[entry].ports["operator"]
         return await self.fetcher.fetch((HOST, port), method, target, [], body)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -22,7 +22,7 @@
 
 
 async def apply(sys, base, timeout, entry=0, token="t"):
-    """Apply through an entry's operator face; return the status."""
+    """Apply through an entry's operator API; return the status."""
     value = {"base": base, "declarations": changed(sys.source, timeout)}
     value |= {"author": "a", "message": "m", "token": f"{token}{entry}{timeout}"}
     address = sys.entries[entry].operator_address
