--- a/gypsumshift/groups.py
+++ b/gypsumshift/groups.py
@@ -1,4 +1,4 @@
-"""Groups: what trainers submit and get back, and where each of them stands."""
+"""Data classes for prompt groups, samples, steps and the state of a trainer."""
 
 import attrs
 
@@ -9,16 +9,17 @@
 
 @attrs.frozen
 class Sample:
-    """One finished sample.
+    """A finished sample with the weight versions that generated it.
 
     Attributes
     ----------
     id : str
-        Group and number within the group.
+        ``GROUP_ID/NUMBER``, the number counted from 0 within the group.
     prompt, text : str
     token_ids : list of int
     spans : list of [first, last, version]
-        Which weight version produced tokens ``first`` up to, not with, ``last``.
+        Weight version that generated the tokens from ``first`` up to but not
+        including ``last``.
     finish_reason : str
     """
 
@@ -31,35 +32,37 @@
 
     @property
     def oldest(self) -> int:
-        """Oldest weight version in it."""
+        """Oldest weight version that generated one of its tokens."""
         return min(span[2] for span in self.spans)
 
     @property
     def newest(self) -> int:
-        """Newest weight version in it."""
+        """Newest weight version that generated one of its tokens."""
         return max(span[2] for span in self.spans)
 
 
 @attrs.define
 class Group:
-    """A prompt of which several samples are wanted.
+    """A prompt for which several samples are to be generated.
 
     Attributes
     ----------
     id : str
-        The trainer's own.
+        Identifier chosen by the trainer.
     prompt : str
     samples : int
+        Number of samples to generate.
     max_tokens : int
+        Maximum number of tokens per sample.
     temperature : float
     number : int
-        Order of acceptance, from 1.
+        Position in the order of acceptance, from 1.
     object : str
-        Name of the object with the samples; empty while there is none.
+        Name of the object that contains the samples; empty until they are stored.
     oldest, newest : int
-        Weight versions of its samples, once ready.
+        Oldest and newest weight version of its samples; 0 until they are stored.
     failed : str
-        Why it will never be ready; empty where it may.
+        Reason why the group cannot be generated; empty if it has not failed.
     """
 
     id: str
@@ -75,31 +78,31 @@
 
     @property
     def is_pending(self) -> bool:
-        """Whether its samples are still to be generated."""
+        """Whether its samples have yet to be generated."""
         return not self.object and not self.failed
 
     @property
     def is_ready(self) -> bool:
-        """Whether its samples are there."""
+        """Whether its samples are stored."""
         return bool(self.object)
 
 
 @attrs.define
 class TrainerState:
-    """Where one trainer stands.
+    """Progress of one trainer, as stored in its row.
 
     Attributes
     ----------
     version : int
-        Weight version that it last said to train on.
+        Newest weight version that the trainer has reported to train on.
     sealed : int
-        Newest step that is complete; 0 for none.
+        Newest sealed step; 0 if there is none.
     wanted : int
-        Newest step that was asked for.
+        Newest step that the trainer has requested.
     accepted : int
-        Groups accepted so far.
+        Number of groups accepted so far.
     row_version : int
-        Of the row that this was read from.
+        Version of the row that this was read from.
     """
 
     version: int = 0
@@ -111,13 +114,13 @@
 
 @attrs.define
 class Step:
-    """A sealed step.
+    """A sealed step: a fixed list of groups that are delivered together.
 
     Attributes
     ----------
     number : int
     version : int
-        Weight version of the trainer that staleness was checked against.
+        Weight version of the trainer against which staleness was checked.
     groups : list of Group
     """
 
--- a/gypsumshift/trainerapi.py
+++ b/gypsumshift/trainerapi.py
@@ -149,17 +149,17 @@
             return problem_response(404, "not run", "steps count from 1")
         began = self.clock.monotonic()
         ledger = TrainerStore(self.platform, trainer.name)
-        trainee = await ledger.request_step(number, int(version))
-        if isinstance(trainee, Conflict):
-            return problem_response(409, "not run", trainee.detail)
-        if isinstance(trainee, Unavailable):
-            return retry_response(trainee)
+        state = await ledger.request_step(number, int(version))
+        if isinstance(state, Conflict):
+            return problem_response(409, "not run", state.detail)
+        if isinstance(state, Unavailable):
+            return retry_response(state)
         self.driver_manager.wake_driver(trainer.name)
         deadline = began + min(float(wait), MAX_WAIT_S)
         step = await self.wait_for_step(ledger, trainer, number, deadline)
         if isinstance(step, Step):
             return await self.step_response(ledger, trainer, step, began)
-        if number <= trainee.sealed and isinstance(step, Missing):
+        if number <= state.sealed and isinstance(step, Missing):
             return problem_response(410, "not run", f"step {number} is no longer kept")
         detail = f"step {number} is not complete yet"
         return problem_response(503, "not run", detail, retry_after=RETRY_AFTER_S)
@@ -234,12 +234,12 @@
     async def show_state(self, trainer: Trainer) -> Response:
         """Tell where a trainer stands."""
         ledger = TrainerStore(self.platform, trainer.name)
-        trainee, pairs = await asyncio.gather(ledger.read_state(), ledger.read_groups())
-        if isinstance(trainee, Unavailable) or isinstance(pairs, Unavailable):
+        state, pairs = await asyncio.gather(ledger.read_state(), ledger.read_groups())
+        if isinstance(state, Unavailable) or isinstance(pairs, Unavailable):
             return retry_response(Unavailable("the platform is down"))
         groups = [group for _, group in pairs]
         failed = {group.id: group.failed for group in groups if group.failed}
-        value = attrs.asdict(trainee)
+        value = attrs.asdict(state)
         del value["row_version"]
         value["ready"] = sum(1 for group in groups if group.is_ready)
         value["open"] = sum(1 for group in groups if group.is_pending)
--- a/gypsumshift/trainerdriver.py
+++ b/gypsumshift/trainerdriver.py
@@ -36,13 +36,13 @@
     return round((1 - trainer.staleness_weight) * trainer.staleness_bound)
 
 
-def groups_due(trainer: Trainer, trainee: TrainerState) -> int:
+def groups_due(trainer: Trainer, state: TrainerState) -> int:
     """Return how many groups shall be ready or running.
 
     What is overprovisioned beyond a step is ready for the next; where the bound is
     0 the next step could not use it.
     """
-    steps = steps_ahead(trainer) + (1 if trainee.wanted > trainee.sealed else 0)
+    steps = steps_ahead(trainer) + (1 if state.wanted > state.sealed else 0)
     if not steps or not trainer.staleness_bound:
         return trainer.groups_per_step * steps
     share = trainer.overprovision * (1 - trainer.staleness_weight)
@@ -121,15 +121,15 @@
     async def start_due_groups(self) -> None:
         """Look at the ledger, and start the groups that are due."""
         trainer = self.sampler.trainer = self.declaration or self.sampler.trainer
-        trainee = await self.store.read_state()
+        state = await self.store.read_state()
         pairs = await self.store.read_groups()
-        if isinstance(trainee, Unavailable) or isinstance(pairs, Unavailable):
+        if isinstance(state, Unavailable) or isinstance(pairs, Unavailable):
             return
-        self.sampler.min_version = trainee.version - trainer.staleness_bound
-        await self.discard_stale_groups(pairs, trainee, trainer.staleness_bound)
+        self.sampler.min_version = state.version - trainer.staleness_bound
+        await self.discard_stale_groups(pairs, state, trainer.staleness_bound)
         ready = [group for _, group in pairs if group.is_ready]
         self.set_ready_count(len(ready))
-        room = groups_due(trainer, trainee) - len(ready) - len(self.running)
+        room = groups_due(trainer, state) - len(ready) - len(self.running)
         missing = trainer.groups_per_step - len(ready)
         for row, group in pairs:
             if room <= 0:
@@ -148,11 +148,11 @@
             self.step_ready.clear()
 
     async def discard_stale_groups(
-        self, pairs, trainee: TrainerState, bound: int
+        self, pairs, state: TrainerState, bound: int
     ) -> None:
         """Take back ready groups that have become too old."""
         for row, group in pairs:
-            if group.is_ready and not is_fresh(group, trainee, bound):
+            if group.is_ready and not is_fresh(group, state, bound):
                 await self.store.discard_samples(row, group)
                 self.process.metrics.count("groups_discarded", trainer=self.name)
                 group.object = ""
--- a/gypsumshift/trainerstore.py
+++ b/gypsumshift/trainerstore.py
@@ -1,13 +1,13 @@
-"""Ledger: the groups, samples and steps of trainers, in the table service.
+"""Storage of the groups, samples and steps of trainers in the platform's services.
 
-Any process may act on any trainer here at any time. Each move is one
-transaction whose conditions make it right, whoever makes it:
+Any process may change the data of any trainer at any time. Each change is one
+conditional transaction, which keeps the data consistent whichever process commits it:
 
-- a group is accepted once per the trainer's own id;
-- a ready group names an object that was put once;
-- sealing a step takes its groups off the list in the same transaction that
-  writes the step, on the condition that the trainer's row is unchanged, and
-  with it the version that staleness was checked against.
+- a group is accepted once per id that the trainer gave it;
+- a ready group names an object that was stored once and is not overwritten;
+- sealing a step removes its groups from the list in the transaction that writes
+  the step. The transaction is conditional on an unchanged row of the trainer,
+  which contains the weight version against which staleness was checked.
 """
 
 import asyncio
@@ -40,22 +40,23 @@
 
 
 def group_key(trainer: str, number: int) -> str:
-    """Return the key of a group's row; keys sort by acceptance."""
+    """Return the key of a group's row; keys sort in order of acceptance."""
     return f"{trainer}/{number:012d}"
 
 
 def step_key(trainer: str, number: int) -> str:
-    """Return the key of a step's row."""
+    """Return the key of a step's row; keys sort by step number."""
     return f"{trainer}/{number:012d}"
 
 
 class TrainerStore:
-    """The ledger of one trainer.
+    """Reads and writes the groups and steps of one trainer.
 
     Parameters
     ----------
     platform : Platform
     trainer : str
+        Name of the trainer.
     """
 
     def __init__(self, platform: Platform, trainer: str):
@@ -64,7 +65,7 @@
         self.trainer = trainer
 
     async def read_state(self) -> TrainerState | Unavailable:
-        """Return where the trainer stands."""
+        """Read the trainer's row; an absent row gives the initial state."""
         row = await self.tables.read(TRAINERS_TABLE, self.trainer)
         if isinstance(row, Unavailable):
             return row
@@ -72,14 +73,14 @@
             return TrainerState()
         return TrainerState(**row.value, row_version=row.version)
 
-    def state_write(self, trainee: TrainerState, **changes: int) -> Write:
-        """Return the write that changes the trainer's row, unless it was changed."""
-        value = attrs.asdict(attrs.evolve(trainee, **changes))
+    def state_write(self, state: TrainerState, **changes: int) -> Write:
+        """Return a write of the trainer's row, conditional on its version."""
+        value = attrs.asdict(attrs.evolve(state, **changes))
         del value["row_version"]
-        return Write(TRAINERS_TABLE, self.trainer, value, trainee.row_version)
+        return Write(TRAINERS_TABLE, self.trainer, value, state.row_version)
 
     async def read_groups(self) -> list[tuple[Row, Group]] | Unavailable:
-        """Return the groups that no step has taken yet, in order of acceptance."""
+        """Return the groups that are in no step yet, in order of acceptance."""
         rows = await self.tables.scan(GROUPS_TABLE, f"{self.trainer}/")
         if isinstance(rows, Unavailable):
             return rows
@@ -87,19 +88,22 @@
 
     async def accept_groups(self, groups: list[Group]) -> int | Unavailable | Unknown:
         """Accept groups, each once per id; return how many were new."""
-        result = Unavailable("the trainer's row changed again and again")
+        result = Unavailable(
+            f"accepting groups of trainer {self.trainer}: its row was changed by"
+            f" others in all {MAX_COMMIT_TRIES} tries"
+        )
         for _ in range(MAX_COMMIT_TRIES):
-            trainee = await self.read_state()
-            if isinstance(trainee, Unavailable):
-                return trainee
-            fresh = await self.filter_new(groups)
-            if isinstance(fresh, Unavailable):
-                return fresh
-            if not fresh:
+            state = await self.read_state()
+            if isinstance(state, Unavailable):
+                return state
+            new = await self.filter_new(groups)
+            if isinstance(new, Unavailable):
+                return new
+            if not new:
                 return 0
-            outcome = await self.tables.commit(self.accept_writes(trainee, fresh))
+            outcome = await self.tables.commit(self.accept_writes(state, new))
             if isinstance(outcome, Committed):
-                return len(fresh)
+                return len(new)
             if isinstance(outcome, Unavailable):
                 return outcome
             if isinstance(outcome, Unknown):
@@ -107,58 +111,64 @@
         return result
 
     async def filter_new(self, groups: list[Group]) -> list[Group] | Unavailable:
-        """Return the groups whose ids were not accepted before."""
-        named = {group.id: group for group in reversed(groups)}
+        """Return the groups whose ids have not been accepted yet."""
+        by_id = {group.id: group for group in reversed(groups)}
         rows = await asyncio.gather(
-            *(self.tables.read(IDS_TABLE, f"{self.trainer}/{name}") for name in named)
+            *(self.tables.read(IDS_TABLE, f"{self.trainer}/{name}") for name in by_id)
         )
         for row in rows:
             if isinstance(row, Unavailable):
                 return row
-        pairs = zip(named.values(), rows, strict=True)
-        fresh = [group for group, row in pairs if isinstance(row, Missing)]
-        return list(reversed(fresh))
-
-    def accept_writes(self, trainee: TrainerState, groups: list[Group]) -> list[Write]:
-        """Return the transaction that accepts new groups."""
-        accepted = trainee.accepted
-        writes = [self.state_write(trainee, accepted=accepted + len(groups))]
+        pairs = zip(by_id.values(), rows, strict=True)
+        new = [group for group, row in pairs if isinstance(row, Missing)]
+        return list(reversed(new))
+
+    def accept_writes(self, state: TrainerState, groups: list[Group]) -> list[Write]:
+        """Return the writes of the transaction that accepts new groups."""
+        accepted = state.accepted
+        writes = [self.state_write(state, accepted=accepted + len(groups))]
         for number, group in enumerate(groups, accepted + 1):
             numbered = attrs.evolve(group, number=number, object="", oldest=0, newest=0)
             key = f"{self.trainer}/{group.id}"
             writes.append(Write(IDS_TABLE, key, {"number": number}, ABSENT))
-            place = group_key(self.trainer, number)
-            writes.append(Write(GROUPS_TABLE, place, attrs.asdict(numbered), ABSENT))
+            row_key = group_key(self.trainer, number)
+            writes.append(Write(GROUPS_TABLE, row_key, attrs.asdict(numbered), ABSENT))
         return writes
 
     async def request_step(
         self, number: int, version: int
     ) -> TrainerState | Conflict | Unavailable:
-        """Note that the trainer asks for a step and which version it trains on.
+        """Store which step the trainer requests and which version it trains on.
 
-        The version only ever grows. A step after the next is a conflict.
+        The stored version never decreases. A request for a step after the next one
+        is a conflict.
         """
         for _ in range(MAX_COMMIT_TRIES):
-            trainee = await self.read_state()
-            if isinstance(trainee, Unavailable):
-                return trainee
-            if number > trainee.sealed + 1:
-                return Conflict(f"step {trainee.sealed + 1} comes first")
-            wanted = max(trainee.wanted, number)
-            version = max(trainee.version, version)
-            if (wanted, version) == (trainee.wanted, trainee.version):
-                return trainee
-            write = self.state_write(trainee, wanted=wanted, version=version)
+            state = await self.read_state()
+            if isinstance(state, Unavailable):
+                return state
+            if number > state.sealed + 1:
+                return Conflict(
+                    f"step {number} was requested, but step {state.sealed + 1} is next"
+                )
+            wanted = max(state.wanted, number)
+            version = max(state.version, version)
+            if (wanted, version) == (state.wanted, state.version):
+                return state
+            write = self.state_write(state, wanted=wanted, version=version)
             outcome = await self.tables.commit([write])
             if isinstance(outcome, Unavailable):
                 return outcome
-        return Unavailable("the trainer's row changed again and again")
+        return Unavailable(
+            f"requesting step {number} of trainer {self.trainer}: its row was changed"
+            f" by others in all {MAX_COMMIT_TRIES} tries"
+        )
 
     def new_object_name(self, group: Group) -> str:
-        """Return a new name for the object with a group's samples.
+        """Return a new name for the object that contains a group's samples.
 
-        A second result of the same group is another object, and only one of them
-        is ever named by the row.
+        Each result of a group is a separate object; the group's row names only one
+        of them.
         """
         number = f"{group.number:012d}"
         return f"samples/{self.trainer}/{number}-{secrets.token_hex(6)}"
@@ -166,9 +176,10 @@
     async def finish_group(
         self, row: Row, group: Group, samples: list[Sample], name: str = ""
     ) -> Written:
-        """Put a group's samples as an object and mark it ready, where it still waits.
+        """Store a group's samples as an object and mark the group ready.
 
-        With the same ``name`` again it is harmless after an unknown outcome.
+        The group's row must be unchanged since it was read. After an unknown outcome
+        the call may be repeated with the same ``name``.
         """
         name = name or self.new_object_name(group)
         data = json.dumps([attrs.asdict(sample) for sample in samples]).encode()
@@ -186,17 +197,17 @@
         )
 
     async def fail_group(self, row: Row, group: Group, reason: str) -> Written:
-        """Set a group aside that no engine will generate."""
+        """Mark a group as failed, so that it is not generated again."""
         failed = attrs.evolve(group, failed=reason)
         return await self.tables.commit(
             [Write(row.table, row.key, attrs.asdict(failed), row.version)]
         )
 
     async def discard_samples(self, row: Row, group: Group) -> Written:
-        """Take a ready group's samples back, to have it generated again."""
-        opened = attrs.evolve(group, object="", oldest=0, newest=0)
+        """Make a ready group pending again, then delete its samples."""
+        pending = attrs.evolve(group, object="", oldest=0, newest=0)
         outcome = await self.tables.commit(
-            [Write(row.table, row.key, attrs.asdict(opened), row.version)]
+            [Write(row.table, row.key, attrs.asdict(pending), row.version)]
         )
         if isinstance(outcome, Committed):
             await self.objects.delete(group.object)
@@ -205,24 +216,28 @@
     async def seal_step(
         self, size: int, bound: int
     ) -> Step | Missing | Conflict | Unavailable | Unknown:
-        """Seal the step that is wanted, where enough fresh groups are ready.
+        """Seal the requested step if enough groups within the bound are ready.
+
+        Ready groups that exceed the bound are made pending again. If the requested
+        step is already sealed, it is returned.
 
         Parameters
         ----------
         size : int
-            Groups in a step.
+            Number of groups in a step.
         bound : int
-            Versions that the oldest token may lag behind the trainer.
+            Maximum number of versions by which a token may be older than the version
+            that the trainer trains on.
 
         Returns
         -------
-        Step, Missing (not enough is ready yet), or how the transaction failed
+        Step, Missing (too few groups are ready), or the outcome of the failed access
         """
-        trainee = await self.read_state()
-        if isinstance(trainee, Unavailable):
-            return trainee
-        if trainee.wanted <= trainee.sealed:
-            return await self.read_step(trainee.sealed)
+        state = await self.read_state()
+        if isinstance(state, Unavailable):
+            return state
+        if state.wanted <= state.sealed:
+            return await self.read_step(state.sealed)
         pairs = await self.read_groups()
         if isinstance(pairs, Unavailable):
             return pairs
@@ -230,28 +245,28 @@
         for row, group in pairs:
             if not group.is_ready:
                 continue
-            if is_fresh(group, trainee, bound):
+            if is_fresh(group, state, bound):
                 fresh.append((row, group))
             else:
                 await self.discard_samples(row, group)
         if len(fresh) < size:
             return Missing()
-        return await self.commit_step(trainee, fresh[:size])
-
-    async def commit_step(self, trainee: TrainerState, chosen: list[tuple[Row, Group]]):
-        """Write a step and take its groups off the list, in one transaction."""
-        number = trainee.sealed + 1
-        step = Step(number, trainee.version, [group for _, group in chosen])
-        writes = [self.state_write(trainee, sealed=number)]
-        place = step_key(self.trainer, number)
-        writes.append(Write(STEPS_TABLE, place, attrs.asdict(step), ABSENT))
+        return await self.commit_step(state, fresh[:size])
+
+    async def commit_step(self, state: TrainerState, chosen: list[tuple[Row, Group]]):
+        """Write a step and remove its groups from the list in one transaction."""
+        number = state.sealed + 1
+        step = Step(number, state.version, [group for _, group in chosen])
+        writes = [self.state_write(state, sealed=number)]
+        row_key = step_key(self.trainer, number)
+        writes.append(Write(STEPS_TABLE, row_key, attrs.asdict(step), ABSENT))
         for row, _ in chosen:
             writes.append(Write(row.table, row.key, None, row.version))
         outcome = await self.tables.commit(writes)
         return step if isinstance(outcome, Committed) else outcome
 
     async def read_step(self, number: int) -> Step | Missing | Unavailable:
-        """Return a sealed step that is still kept."""
+        """Return a sealed step; Missing if it is not sealed or no longer stored."""
         row = await self.tables.read(STEPS_TABLE, step_key(self.trainer, number))
         if isinstance(row, (Missing, Unavailable)):
             return row
@@ -273,7 +288,10 @@
         return found
 
     async def remove_old_step(self, sealed: int) -> None:
-        """Remove a step that the trainer has long pulled past."""
+        """Remove the step that is ``RETAINED_STEPS`` before ``sealed``.
+
+        The steps after it stay available for repeated requests.
+        """
         old = sealed - RETAINED_STEPS
         step = await self.read_step(old) if old > 0 else Missing()
         if not isinstance(step, Step):
@@ -283,6 +301,6 @@
         await self.tables.commit([Write(STEPS_TABLE, step_key(self.trainer, old))])
 
 
-def is_fresh(group: Group, trainee: TrainerState, bound: int) -> bool:
-    """Tell whether a ready group is within the staleness bound."""
-    return group.oldest >= trainee.version - bound
+def is_fresh(group: Group, state: TrainerState, bound: int) -> bool:
+    """Return whether all tokens of a ready group are within the staleness bound."""
+    return group.oldest >= state.version - bound
--- a/history/mutants.py
+++ b/history/mutants.py
@@ -36,7 +36,7 @@
     """Check the age of samples nowhere."""
     from gypsumshift import trainerdriver, trainerstore
 
-    trainerstore.is_fresh = trainerdriver.is_fresh = lambda group, trainee, bound: True
+    trainerstore.is_fresh = trainerdriver.is_fresh = lambda group, state, bound: True
     trainerdriver.TrainerDriver.min_version = property(
         lambda self: -(10**9), lambda self, value: None
     )
@@ -48,9 +48,9 @@
 
     inner = trainerstore.TrainerStore.commit_step
 
-    async def commit_step(self, trainee, chosen):
+    async def commit_step(self, state, chosen):
         kept = [(_Kept(row), group) for row, group in chosen]
-        return await inner(self, trainee, kept)
+        return await inner(self, state, kept)
 
     class _Kept:
         """A row whose removal hits another place."""
--- a/tests/test_trainerstore.py
+++ b/tests/test_trainerstore.py
@@ -1,4 +1,8 @@
-"""Exactly once and never too old, whoever seals and whatever is lost."""
+"""Each group is in one step and within the staleness bound, despite platform faults.
+
+The state machine covers concurrent processes, stale reads, and transactions whose
+answer is lost or which are dropped.
+"""
 
 import asyncio
 
@@ -19,20 +23,20 @@
     return Sample(f"{group.id}/0", group.prompt, "w", [1], [[0, 1, version]])
 
 
-class LedgerMachine(RuleBasedStateMachine):
-    """Two entries work on one trainer's ledger while the platform fails."""
+class TrainerStoreMachine(RuleBasedStateMachine):
+    """Two entries access the data of one trainer while the platform fails."""
 
     def __init__(self):
         super().__init__()
         self.tables = builders.FaultyTables()
         self.platform = builders.platform(self.tables)
-        self.ledgers = [TrainerStore(self.platform, "t") for _ in range(2)]
+        self.stores = [TrainerStore(self.platform, "t") for _ in range(2)]
         self.loop = asyncio.new_event_loop()
         self.submitted = set()
-        self.held = []
+        self.read_pairs = []
         self.steps = {}
-        self.version = 0
-        self.weights = 0
+        self.trainer_version = 0
+        self.newest_version = 0
 
     def teardown(self):
         self.loop.close()
@@ -40,8 +44,8 @@
     def do(self, work):
         return self.loop.run_until_complete(work)
 
-    def truth(self):
-        """Return the trainer's row as it truly is."""
+    def stored_state(self):
+        """Return the trainer's row directly from the tables."""
         row = self.tables.rows.get(("trainers", "", "t"))
         return TrainerState(**row.value) if row else TrainerState()
 
@@ -50,47 +54,48 @@
     )
     def submit(self, ids, who):
         groups = [Group(str(number), f"prompt {number}") for number in ids]
-        outcome = self.do(self.ledgers[who].accept_groups(groups))
+        outcome = self.do(self.stores[who].accept_groups(groups))
         if isinstance(outcome, int):
             self.submitted |= set(map(str, ids))
 
     @rule(who=st.integers(0, 1))
     def read_groups(self, who):
-        """A driver reads the list, to finish groups some time later."""
-        pairs = self.do(self.ledgers[who].read_groups())
+        """A driver reads the groups that it will finish later."""
+        pairs = self.do(self.stores[who].read_groups())
         if not isinstance(pairs, Unavailable):
-            self.held = pairs
+            self.read_pairs = pairs
 
     @rule(who=st.integers(0, 1), pick=st.integers(0, 9))
     def finish(self, who, pick):
-        """A driver finishes a group that it read before, perhaps long ago."""
-        waiting = [pair for pair in self.held if pair[1].is_pending]
+        """A driver finishes a group whose row may have changed since it was read."""
+        waiting = [pair for pair in self.read_pairs if pair[1].is_pending]
         if waiting:
             row, group = waiting[pick % len(waiting)]
-            done = [sample(group, self.weights)]
-            self.do(self.ledgers[who].finish_group(row, group, done))
+            samples = [sample(group, self.newest_version)]
+            self.do(self.stores[who].finish_group(row, group, samples))
 
     @rule()
-    def new_weights(self):
-        self.weights += 1
+    def publish_weights(self):
+        self.newest_version += 1
 
     @rule(jump=st.integers(0, 2))
-    def trainer_moves(self, jump):
-        self.version = min(self.version + jump, self.weights)
+    def update_trainer(self, jump):
+        self.trainer_version = min(self.trainer_version + jump, self.newest_version)
 
     @rule(who=st.integers(0, 1))
-    def want(self, who):
-        number = self.truth().sealed + 1
-        self.do(self.ledgers[who].request_step(number, self.version))
+    def request_next_step(self, who):
+        number = self.stored_state().sealed + 1
+        self.do(self.stores[who].request_step(number, self.trainer_version))
 
     @rule()
-    def want_too_far(self):
-        outcome = self.do(self.ledgers[0].request_step(self.truth().sealed + 2, 0))
+    def request_step_after_next(self):
+        number = self.stored_state().sealed + 2
+        outcome = self.do(self.stores[0].request_step(number, 0))
         assert isinstance(outcome, (Conflict, Unavailable))
 
     @rule(who=st.integers(0, 1))
     def seal(self, who):
-        outcome = self.do(self.ledgers[who].seal_step(SIZE, BOUND))
+        outcome = self.do(self.stores[who].seal_step(SIZE, BOUND))
         if isinstance(outcome, Step):
             assert self.steps.setdefault(outcome.number, outcome) == outcome
 
@@ -98,7 +103,7 @@
     def seal_at_both(self):
         async def both():
             return await asyncio.gather(
-                *(ledger.seal_step(SIZE, BOUND) for ledger in self.ledgers)
+                *(store.seal_step(SIZE, BOUND) for store in self.stores)
             )
 
         for outcome in self.do(both()):
@@ -106,24 +111,25 @@
                 assert self.steps.setdefault(outcome.number, outcome) == outcome
 
     @rule(down=st.booleans())
-    def platform_down(self, down):
+    def set_platform_down(self, down):
         self.tables.down = down
 
     @rule(lose=st.integers(0, 1), drop=st.integers(0, 1))
-    def platform_loses(self, lose, drop):
+    def lose_or_drop_commits(self, lose, drop):
         self.tables.lose_next, self.tables.drop_next = lose, drop
 
     @invariant()
-    def steps_are_right(self):
+    def steps_are_valid(self):
         seen = set()
         for (table, _, _), row in self.tables.rows.items():
             if table != "steps":
                 continue
             assert len(row.value["groups"]) == SIZE
             for group in row.value["groups"]:
-                assert group["id"] not in seen, "a group in two steps"
+                assert group["id"] not in seen, "a group is in two steps"
                 seen.add(group["id"])
-                assert group["oldest"] >= row.value["version"] - BOUND, "too old"
+                oldest_allowed = row.value["version"] - BOUND
+                assert group["oldest"] >= oldest_allowed, "a group is too old"
                 assert group["object"] in self.platform.objects.data
         open_ids = [
             r.value["id"] for (t, _, _), r in self.tables.rows.items() if t == "groups"
@@ -133,82 +139,82 @@
         assert self.submitted <= seen | set(open_ids), "a group was lost"
 
 
-TestLedger = LedgerMachine.TestCase
+TestTrainerStore = TrainerStoreMachine.TestCase
 
 
-def prepared(count=2, version=0):
-    """Return a ledger with groups finished by one weight version."""
-    ledger = TrainerStore(builders.platform(builders.FaultyTables()), "t")
+def store_with_ready_groups(count=2, version=0):
+    """Return a store whose groups were finished under one weight version."""
+    store = TrainerStore(builders.platform(builders.FaultyTables()), "t")
 
     async def prepare():
-        await ledger.accept_groups([Group(str(n), "p") for n in range(count)])
-        for row, group in await ledger.read_groups():
-            await ledger.finish_group(row, group, [sample(group, version)])
-        await ledger.request_step(1, 0)
+        await store.accept_groups([Group(str(n), "p") for n in range(count)])
+        for row, group in await store.read_groups():
+            await store.finish_group(row, group, [sample(group, version)])
+        await store.request_step(1, 0)
 
     asyncio.run(prepare())
-    return ledger
+    return store
 
 
-def test_a_trainer_that_jumps_versions_gets_nothing_too_old():
-    ledger = prepared()
+def test_version_jump_makes_stale_groups_pending_again():
+    store = store_with_ready_groups()
 
     async def work():
-        await ledger.request_step(1, 5)
-        assert isinstance(await ledger.seal_step(2, BOUND), Missing)
-        assert all(group.is_pending for _, group in await ledger.read_groups())
+        await store.request_step(1, 5)
+        assert isinstance(await store.seal_step(2, BOUND), Missing)
+        assert all(group.is_pending for _, group in await store.read_groups())
 
     asyncio.run(work())
 
 
-def test_a_paused_sealer_cannot_seal_for_the_version_it_saw():
-    ledger = prepared()
+def test_sealing_with_a_changed_trainer_row_is_a_conflict():
+    store = store_with_ready_groups()
 
     async def work():
-        trainee = await ledger.read_state()
-        pairs = await ledger.read_groups()
-        await ledger.request_step(1, 5)
-        assert isinstance(await ledger.commit_step(trainee, pairs), Conflict)
+        state = await store.read_state()
+        pairs = await store.read_groups()
+        await store.request_step(1, 5)
+        assert isinstance(await store.commit_step(state, pairs), Conflict)
 
     asyncio.run(work())
 
 
-def test_a_lost_answer_of_the_sealing_transaction_is_settled_by_asking_again():
-    ledger = prepared()
+def test_sealing_again_after_a_lost_answer_returns_the_sealed_step():
+    store = store_with_ready_groups()
 
     async def work():
-        ledger.tables.lose_next = 1
-        await ledger.seal_step(2, BOUND)
-        step = await ledger.seal_step(2, BOUND)
+        store.tables.lose_next = 1
+        await store.seal_step(2, BOUND)
+        step = await store.seal_step(2, BOUND)
         assert isinstance(step, Step) and step.number == 1
-        assert len(await ledger.read_samples(step)) == 2
+        assert len(await store.read_samples(step)) == 2
 
     asyncio.run(work())
 
 
-def test_two_results_of_one_group_leave_one_sample():
-    ledger = TrainerStore(builders.platform(), "t")
+def test_second_result_of_a_group_is_a_conflict():
+    store = TrainerStore(builders.platform(), "t")
 
     async def work():
-        await ledger.accept_groups([Group("a", "p")])
-        ((row, group),) = await ledger.read_groups()
-        first = await ledger.finish_group(row, group, [sample(group, 0)])
-        second = await ledger.finish_group(row, group, [sample(group, 0)])
+        await store.accept_groups([Group("a", "p")])
+        ((row, group),) = await store.read_groups()
+        first = await store.finish_group(row, group, [sample(group, 0)])
+        second = await store.finish_group(row, group, [sample(group, 0)])
         assert isinstance(first, Committed) and isinstance(second, Conflict)
 
     asyncio.run(work())
 
 
-def test_a_pulled_step_is_swept_only_when_two_more_were_pulled():
-    ledger = prepared()
+def test_sealed_step_is_removed_after_two_later_steps():
+    store = store_with_ready_groups()
 
     async def work():
-        step = await ledger.seal_step(2, BOUND)
-        await ledger.remove_old_step(1)
-        await ledger.remove_old_step(2)
-        assert isinstance(await ledger.read_samples(step), list)
-        await ledger.remove_old_step(3)
-        assert isinstance(await ledger.read_step(1), Missing)
-        assert not ledger.objects.data
+        step = await store.seal_step(2, BOUND)
+        await store.remove_old_step(1)
+        await store.remove_old_step(2)
+        assert isinstance(await store.read_samples(step), list)
+        await store.remove_old_step(3)
+        assert isinstance(await store.read_step(1), Missing)
+        assert not store.objects.data
 
     asyncio.run(work())
