--- a/gypsumshift/trainerapi.py
+++ b/gypsumshift/trainerapi.py
@@ -1,4 +1,4 @@
-"""Trainers: the HTTP face for groups, steps and weights."""
+"""HTTP API with which trainers submit groups, pull steps and publish weights."""
 
 import asyncio
 import json
@@ -72,12 +72,14 @@
 
 
 class TrainerApi:
-    """Answers trainers; any entry can, at any time.
+    """Handles the requests of trainers.
+
+    All state is in the platform's services, so any entry can handle any request.
 
     Parameters
     ----------
     process : Process
-    generator : Generator
+    driver_manager : DriverManager
     """
 
     def __init__(self, process: Process, driver_manager: DriverManager):
@@ -92,20 +94,20 @@
     async def handle_request(
         self, request: Request, workspace: str, rest: str
     ) -> Response:
-        """Answer one request of a trainer.
+        """Handle one request of a trainer.
 
         Parameters
         ----------
         request : Request
         workspace : str
         rest : str
-            Path behind ``/trainers/``.
+            Part of the path after ``/trainers/``.
         """
         name, _, what = rest.partition("/")
         trainer = self.process.active_revision.catalog.trainers.get(name)
         if trainer is None or trainer.workspace != workspace:
             return problem_response(
-                404, "not run", f"{workspace} has no trainer {name!r}"
+                404, "not run", f"workspace {workspace} has no trainer {name!r}"
             )
         kind, _, argument = what.partition("/")
         if kind == "groups" and request.method == "POST" and not argument:
@@ -117,15 +119,15 @@
         if not kind and request.method == "GET":
             return await self.show_state(trainer)
         return problem_response(
-            404, "not run", f"a trainer has no {request.method} {what!r}"
+            404, "not run", f"no trainer resource for {request.method} {what!r}"
         )
 
     async def submit_groups(self, trainer: Trainer, request: Request) -> Response:
-        """Accept groups, each once per id."""
+        """Store the groups in the request's body, each once per id."""
         try:
             value = json.loads(request.body)
         except ValueError as error:
-            return problem_response(400, "not run", f"the body is not JSON: {error}")
+            return problem_response(400, "not run", f"body is not valid JSON: {error}")
         problems = documents.check(value, GROUP_SCHEMA, "body")
         if problems:
             return problem_response(422, "not run", str(problems[0]))
@@ -139,40 +141,54 @@
     async def pull_step(
         self, trainer: Trainer, number: int, request: Request
     ) -> Response:
-        """Deliver a step: the same number always gives the same samples."""
+        """Return a step's samples, waiting until it is complete or the wait expires.
+
+        The same number always gives the same samples.
+        """
         version = request.parameter("version", "0")
         wait = request.parameter("wait", str(DEFAULT_WAIT_S))
         if not version.isdigit() or not is_duration(wait):
-            detail = "version takes a whole number, wait takes seconds"
+            detail = (
+                f"version must be a whole number, got {version!r};"
+                f" wait must be seconds, at least 0, got {wait!r}"
+            )
             return problem_response(400, "not run", detail)
         if number < 1:
-            return problem_response(404, "not run", "steps count from 1")
+            return problem_response(
+                404, "not run", f"step {number} does not exist; the first step is 1"
+            )
         began = self.clock.monotonic()
-        ledger = TrainerStore(self.platform, trainer.name)
-        state = await ledger.request_step(number, int(version))
+        store = TrainerStore(self.platform, trainer.name)
+        state = await store.request_step(number, int(version))
         if isinstance(state, Conflict):
             return problem_response(409, "not run", state.detail)
         if isinstance(state, Unavailable):
             return retry_response(state)
         self.driver_manager.wake_driver(trainer.name)
         deadline = began + min(float(wait), MAX_WAIT_S)
-        step = await self.wait_for_step(ledger, trainer, number, deadline)
+        step = await self.wait_for_step(store, trainer, number, deadline)
         if isinstance(step, Step):
-            return await self.step_response(ledger, trainer, step, began)
+            return await self.step_response(store, trainer, step, began)
         if number <= state.sealed and isinstance(step, Missing):
-            return problem_response(410, "not run", f"step {number} is no longer kept")
-        detail = f"step {number} is not complete yet"
+            return problem_response(
+                410, "not run", f"step {number} is no longer stored"
+            )
+        detail = f"step {number} was not complete within the wait"
         return problem_response(503, "not run", detail, retry_after=RETRY_AFTER_S)
 
     async def wait_for_step(
-        self, ledger, trainer: Trainer, number: int, deadline: float
+        self, store, trainer: Trainer, number: int, deadline: float
     ):
-        """Return a step, sealing it as soon as enough groups are ready."""
+        """Return a step, sealing it as soon as enough groups are ready.
+
+        Missing or the failure of the last try is returned at the deadline; Missing at
+        once if the step is no longer stored.
+        """
         while True:
-            step = await ledger.read_step(number)
+            step = await store.read_step(number)
             if isinstance(step, Step):
                 return step
-            sealed = await ledger.seal_step(
+            sealed = await store.seal_step(
                 trainer.groups_per_step, trainer.staleness_bound
             )
             if isinstance(sealed, Step) and sealed.number == number:
@@ -181,21 +197,21 @@
                 return sealed
             if isinstance(sealed, Step) and sealed.number > number:
                 return Missing()
-            left = deadline - self.clock.monotonic()
-            if left <= 0:
+            remaining = deadline - self.clock.monotonic()
+            if remaining <= 0:
                 return sealed
             await self.driver_manager.wait_until_sealable(
-                trainer.name, min(left, SEAL_PERIOD_S)
+                trainer.name, min(remaining, SEAL_PERIOD_S)
             )
 
     async def step_response(
-        self, ledger, trainer: Trainer, step: Step, began
+        self, store, trainer: Trainer, step: Step, began
     ) -> Response:
-        """Return a step's samples."""
-        samples = await ledger.read_samples(step)
+        """Return the response with a step's samples; remove an older step."""
+        samples = await store.read_samples(step)
         if isinstance(samples, Missing):
             return problem_response(
-                410, "not run", f"step {step.number} is no longer kept"
+                410, "not run", f"step {step.number} is no longer stored"
             )
         if isinstance(samples, Unavailable):
             return retry_response(samples)
@@ -205,7 +221,7 @@
         self.mean_staleness[trainer.name] = sum(lag) / len(lag)
         self.process.metrics.record_duration("trainer_idle", idle, trainer=trainer.name)
         self.process.recorder.note("delivered", f"{trainer.name}/{step.number}")
-        self.process.spawn(ledger.remove_old_step(step.number - 1))
+        self.process.spawn(store.remove_old_step(step.number - 1))
         return json_response(
             200,
             {
@@ -220,10 +236,12 @@
     async def publish_weights(
         self, trainer: Trainer, version: int, request
     ) -> Response:
-        """Publish weights: store them, then name the version to everyone."""
+        """Store the weights in the request's body and announce their version."""
         if not trainer.publishes:
             return problem_response(
-                403, "not run", f"{trainer.name} may not publish weights"
+                403,
+                "not run",
+                f"trainer {trainer.name} is declared with publishes: false",
             )
         pool, by = trainer.pool, f"trainer {trainer.name}"
         outcome = await self.publisher.publish(pool, version, request.body, by)
@@ -232,11 +250,13 @@
         return json_response(200, {"pool": pool, "version": version})
 
     async def show_state(self, trainer: Trainer) -> Response:
-        """Tell where a trainer stands."""
-        ledger = TrainerStore(self.platform, trainer.name)
-        state, pairs = await asyncio.gather(ledger.read_state(), ledger.read_groups())
+        """Return the trainer's progress, its group counts and its failed groups."""
+        store = TrainerStore(self.platform, trainer.name)
+        state, pairs = await asyncio.gather(store.read_state(), store.read_groups())
         if isinstance(state, Unavailable) or isinstance(pairs, Unavailable):
-            return retry_response(Unavailable("the platform is down"))
+            return retry_response(
+                Unavailable(f"reading the state of trainer {trainer.name}")
+            )
         groups = [group for _, group in pairs]
         failed = {group.id: group.failed for group in groups if group.failed}
         value = attrs.asdict(state)
@@ -247,7 +267,7 @@
 
 
 def is_duration(text: str) -> bool:
-    """Tell whether a text is a number of seconds, at least 0."""
+    """Return whether a text is a number of seconds, at least 0."""
     try:
         return float(text) >= 0
     except ValueError:
@@ -255,9 +275,9 @@
 
 
 def retry_response(outcome: Unavailable | Unknown) -> Response:
-    """Return the answer for an outcome that calls for another try."""
+    """Return the problem response for an outcome after which to try again."""
     if isinstance(outcome, Unknown):
-        detail = f"{outcome.reason}; the same request again is harmless"
+        detail = f"{outcome.reason}; repeating the same request is safe"
         return problem_response(504, "unknown", detail, retry_after=RETRY_AFTER_S)
-    detail = f"the platform cannot be asked: {outcome.reason}"
+    detail = f"the platform is unavailable: {outcome.reason}"
     return problem_response(503, "not run", detail, retry_after=RETRY_AFTER_S)
--- a/gypsumshift/trainerdriver.py
+++ b/gypsumshift/trainerdriver.py
@@ -1,4 +1,4 @@
-"""Generation: one entry at a time drives the groups of each trainer."""
+"""Generation of the groups of each trainer by the one entry that holds its lease."""
 
 import asyncio
 import math
@@ -21,26 +21,29 @@
 STORE_RETRY_S = 0.5
 SEAL_RETRY_PERIOD_S = 0.3
 MIN_SEAL_PAUSE_S = 0.05
+# Urgencies of samples; a lower number is served first.
 AHEAD_URGENCY = 6
 STEP_URGENCY = 4
 LAST_GROUPS_URGENCY = 2
+# A step's groups get the urgency of the last ones once this share of them is ready.
 LAST_GROUPS_SHARE = 0.75
 
 
 def steps_ahead(trainer: Trainer) -> int:
-    """Return how many steps to generate beyond the one that is wanted.
+    """Return how many steps to generate beyond the requested one.
 
-    A step generated ahead is one version older when it is trained on, so no more
-    than the bound are ever made; the declared weight chooses between 0 and that.
+    Each step generated ahead adds one version of staleness by the time it is trained
+    on, so the number is at most the staleness bound. The declared staleness weight
+    selects a value between 0 and the bound.
     """
     return round((1 - trainer.staleness_weight) * trainer.staleness_bound)
 
 
 def groups_due(trainer: Trainer, state: TrainerState) -> int:
-    """Return how many groups shall be ready or running.
+    """Return how many groups should be ready or running.
 
-    What is overprovisioned beyond a step is ready for the next; where the bound is
-    0 the next step could not use it.
+    Groups overprovisioned for one step are used by the next. With a staleness bound
+    of 0 the next step could not use them, so none are overprovisioned.
     """
     steps = steps_ahead(trainer) + (1 if state.wanted > state.sealed else 0)
     if not steps or not trainer.staleness_bound:
@@ -50,14 +53,14 @@
 
 
 class TrainerDriver:
-    """Drives the groups of one trainer while this entry holds the lease.
+    """Generates the groups of one trainer while this entry holds the trainer's lease.
 
     Parameters
     ----------
     process : Process
     dispatcher : Dispatcher
     name : str
-        The trainer's.
+        Name of the trainer.
     """
 
     def __init__(self, process: Process, dispatcher: Dispatcher, name: str):
@@ -78,11 +81,14 @@
 
     @property
     def declaration(self) -> Trainer | None:
-        """The trainer's declaration now in force."""
+        """The trainer in the active revision; None if it is no longer declared."""
         return self.process.active_revision.catalog.trainers.get(self.name)
 
     async def run(self) -> None:
-        """Hold the lease where nobody else does, and drive while it is held."""
+        """Acquire and renew the lease; start due groups while it is held.
+
+        Ends when the trainer is no longer declared.
+        """
         renewing = self.process.spawn(self.run_lease_loop())
         try:
             while self.declaration is not None:
@@ -98,7 +104,7 @@
             await self.lease.release()
 
     async def wait_for_tick(self) -> None:
-        """Wait for the next tick, or until a group has ended."""
+        """Wait for the next tick, or until a group has ended or a step is requested."""
         try:
             async with asyncio.timeout(TICK_PERIOD_S):
                 await self.wake.wait()
@@ -106,20 +112,20 @@
             pass
 
     async def run_lease_loop(self) -> None:
-        """Renew the lease, or wait for it."""
+        """Renew the lease, or try to acquire it, in a loop."""
         while True:
             if not self.process.own.leaving:
                 await self.lease.renew_or_acquire()
             await self.clock.sleep(LEASE_RENEWAL_PERIOD_S)
 
     def stop_groups(self) -> None:
-        """Stop all groups that run."""
+        """Cancel the generation of all running groups."""
         for task in self.running.values():
             task.cancel()
         self.running.clear()
 
     async def start_due_groups(self) -> None:
-        """Look at the ledger, and start the groups that are due."""
+        """Discard stale groups and start the groups that are due."""
         trainer = self.sampler.trainer = self.declaration or self.sampler.trainer
         state = await self.store.read_state()
         pairs = await self.store.read_groups()
@@ -129,18 +135,18 @@
         await self.discard_stale_groups(pairs, state, trainer.staleness_bound)
         ready = [group for _, group in pairs if group.is_ready]
         self.set_ready_count(len(ready))
-        room = groups_due(trainer, state) - len(ready) - len(self.running)
+        free = groups_due(trainer, state) - len(ready) - len(self.running)
         missing = trainer.groups_per_step - len(ready)
         for row, group in pairs:
-            if room <= 0:
+            if free <= 0:
                 break
             if group.is_pending and group.number not in self.running:
-                place = len(self.running) + 1
-                self.start_group(row, group, group_urgency(trainer, place, missing))
-                room -= 1
+                position = len(self.running) + 1
+                self.start_group(row, group, group_urgency(trainer, position, missing))
+                free -= 1
 
     def set_ready_count(self, ready: int) -> None:
-        """Note how many groups are ready, and whether that makes a step."""
+        """Set how many groups are ready, and signal whether they suffice for a step."""
         self.ready_count = ready
         if ready >= self.sampler.trainer.groups_per_step:
             self.step_ready.set()
@@ -150,7 +156,7 @@
     async def discard_stale_groups(
         self, pairs, state: TrainerState, bound: int
     ) -> None:
-        """Take back ready groups that have become too old."""
+        """Make ready groups pending again if they exceed the staleness bound."""
         for row, group in pairs:
             if group.is_ready and not is_fresh(group, state, bound):
                 await self.store.discard_samples(row, group)
@@ -158,26 +164,29 @@
                 group.object = ""
 
     def start_group(self, row: Row, group: Group, urgency: int) -> None:
-        """Start to generate a group's samples."""
+        """Start generating a group's samples in a task."""
         task = self.process.spawn(self.generate_group(row, group, urgency))
         self.running[group.number] = task
 
     async def generate_group(self, row: Row, group: Group, urgency: int) -> None:
-        """Generate a group's samples and mark it ready."""
+        """Generate a group's samples and mark the group ready or failed.
+
+        Samples that become stale while others are generated are generated again.
+        """
         try:
             samples: list[Sample | None] = [None] * group.samples
             while missing := self.missing_samples(samples):
-                made = await asyncio.gather(
+                generated = await asyncio.gather(
                     *(
                         self.sampler.generate_sample(group, number, urgency)
                         for number in missing
                     )
                 )
-                if None in made:
+                if None in generated:
                     reason = "engines reject the prompt, or end under it"
                     await self.store.fail_group(row, group, reason)
                     return
-                for number, sample in zip(missing, made, strict=True):
+                for number, sample in zip(missing, generated, strict=True):
                     samples[number] = sample
             await self.store_group(row, group, samples)
         finally:
@@ -186,7 +195,7 @@
             self.wake.set()
 
     def missing_samples(self, samples: list[Sample | None]) -> list[int]:
-        """Return the numbers of the samples that are not there, or are too old."""
+        """Return the numbers of the samples that are absent or stale."""
         missing = []
         for number, sample in enumerate(samples):
             if sample is not None and sample.oldest >= self.sampler.min_version:
@@ -197,7 +206,7 @@
         return missing
 
     async def store_group(self, row: Row, group: Group, samples: list[Sample]) -> None:
-        """Mark a group ready, trying again while the platform is down."""
+        """Mark a group ready; retry while the platform is unavailable."""
         name = self.store.new_object_name(group)
         while True:
             outcome = await self.store.finish_group(row, group, samples, name)
@@ -209,18 +218,18 @@
             await self.clock.sleep(STORE_RETRY_S)
 
 
-def group_urgency(trainer: Trainer, place: int, missing: int) -> int:
-    """Return the urgency of a group: the last that the step waits for go first.
+def group_urgency(trainer: Trainer, position: int, missing: int) -> int:
+    """Return the urgency of a group; the last groups missing from a step go first.
 
     Parameters
     ----------
     trainer : Trainer
-    place : int
-        Its place among the groups that run, from 1.
+    position : int
+        Position among the running groups, from 1.
     missing : int
-        Groups that the step still lacks.
+        Number of groups that the step still lacks.
     """
-    if place > missing:
+    if position > missing:
         return AHEAD_URGENCY
     last = missing <= (1 - LAST_GROUPS_SHARE) * trainer.groups_per_step
     return LAST_GROUPS_URGENCY if last else STEP_URGENCY
@@ -241,7 +250,7 @@
         self.drivers: dict[str, TrainerDriver] = {}
 
     def start_missing_drivers(self) -> None:
-        """Start a driver for each trainer that is declared and has none."""
+        """Start a driver for each declared trainer that has none."""
         for name in self.process.active_revision.catalog.trainers:
             if name not in self.drivers:
                 driver = TrainerDriver(self.process, self.dispatcher, name)
@@ -252,9 +261,10 @@
                 )
 
     async def wait_until_sealable(self, name: str, timeout: float) -> None:
-        """Wait until a step may be complete, for ``most`` seconds at the most.
+        """Wait until enough groups for a step may be ready, or ``timeout`` seconds.
 
-        Only the entry that drives the trainer knows; any other looks again soon.
+        Only the entry that holds the trainer's lease is notified of ready groups. On
+        any other entry this waits for a short period, so that the caller polls.
         """
         driver = self.drivers.get(name)
         if driver is None or not driver.lease.held:
@@ -268,12 +278,12 @@
             pass
 
     def wake_driver(self, name: str) -> None:
-        """Have the driver of a trainer look at the ledger now."""
+        """Make the trainer's driver on this entry, if any, start due groups now."""
         if name in self.drivers:
             self.drivers[name].wake.set()
 
     async def release_leases(self) -> None:
-        """Give up all leases, so that other entries go on at once."""
+        """Stop all groups and release all leases, so that other entries continue."""
         for driver in self.drivers.values():
             driver.stop_groups()
             await driver.lease.release()
