--- a/gypsumshift/labels.py
+++ b/gypsumshift/labels.py
@@ -1,7 +1,7 @@
-"""Labels: which weight version produced which tokens of one stream.
+"""Weight versions of the tokens of one stream.
 
-A label comes only from what the model engine itself reported. Tokens whose
-version is in doubt make the whole stream unlabelled; nothing is guessed.
+Only versions reported by the model engine are used. If the version of any token is
+uncertain, the whole stream has no versions; none is assumed.
 """
 
 import attrs
@@ -13,18 +13,18 @@
 
 @attrs.define
 class Labeller:
-    """Collects the spans of one stream.
+    """Collects the weight versions of the tokens of one stream as spans.
 
     Attributes
     ----------
     before : int or None
-        Version that the engine reported before the stream began; None where it
-        did not say.
+        Version that the engine reported before the stream began; None if it reported
+        none.
     spans : list of Span
     count : int
-        Tokens seen so far.
+        Number of tokens received so far.
     bare : bool
-        Whether some tokens came without a version.
+        Whether any tokens came without a version.
     """
 
     before: int | None = None
@@ -33,7 +33,7 @@
     bare: bool = False
 
     def add_tokens(self, tokens: int, version: int | None) -> None:
-        """Take the next tokens with the version reported along with them."""
+        """Append ``tokens`` tokens with the version that was reported with them."""
         if tokens <= 0:
             return
         first, self.count = self.count, self.count + tokens
@@ -47,12 +47,15 @@
             self.spans.append(Span(first, self.count, version))
 
     def final_spans(self, after: int | None) -> list[Span] | None:
-        """Return the spans; None where any token's version is in doubt.
+        """Return the spans; None if the version of any token is uncertain.
+
+        If no token came with a version, all tokens get the version that the engine
+        reported both before and after the stream.
 
         Parameters
         ----------
         after : int or None
-            Version that the engine reported once the stream had ended.
+            Version that the engine reported after the stream had ended.
         """
         if not self.bare:
             return self.spans
--- a/gypsumshift/sampling.py
+++ b/gypsumshift/sampling.py
@@ -1,8 +1,8 @@
-"""Sampling: one sample at a time, moved to another engine where one is too slow.
+"""Generation of single samples, migrated to another engine if one is too slow.
 
-A stream that breaks, stalls or crawls is resumed elsewhere from the tokens that
-are there already, so that nothing is generated twice. Labels stay per token:
-each comes with the event that carried the token.
+A stream that breaks, stalls or is too slow is resumed on another engine from the
+tokens received so far, so that no token is generated twice. Each token keeps the
+weight version that was reported in the event that contained it.
 """
 
 import asyncio
@@ -30,10 +30,14 @@
 MIN_RETRY_DELAY_S = 0.05
 MAX_RETRY_DELAY_S = 2.0
 MAX_REJECTIONS = 3
-# A sample that is held back for longer than this has ended engines in its trials, too.
+# A sample held back for longer than this crashed engines in its trial runs as well.
 MAX_HOLD_BACK = datetime.timedelta(minutes=5)
+# A stream that is too slow is not interrupted after this many interruptions.
 MAX_MIGRATIONS = 2
 STALL_TIMEOUT_S = 2.0
+# A stream is too slow if its time per token exceeds the median of the last
+# PACE_WINDOW streams by this factor. Streams of fewer than MIN_PACE_TOKENS tokens are
+# neither judged nor recorded, and at least MIN_PACES streams must be recorded.
 SLOW_FACTOR = 3.0
 MIN_PACE_TOKENS = 8
 PACE_WINDOW = 64
@@ -44,11 +48,11 @@
 
 
 class UnreadableEvent(Exception):
-    """The engine sent something that is no event of a completion."""
+    """The engine sent data that is not an event of a completion stream."""
 
 
 class StreamTooSlow(Exception):
-    """The engine stalls, or is much slower than the others."""
+    """The stream stalls, or is much slower than recent streams."""
 
 
 @attrs.frozen
@@ -58,9 +62,13 @@
     Attributes
     ----------
     text : str
-    token_ids, prompt_ids : list of int
+    token_ids : list of int
+    prompt_ids : list of int
+        Token ids of the prompt; empty unless the event reports them.
     finish_reason : str
+        Empty unless this is the last event.
     version : int or None
+        Weight version that generated the tokens; None if not reported.
     """
 
     text: str = ""
@@ -72,19 +80,20 @@
 
 @attrs.define
 class PartialSample:
-    """A sample in the making.
+    """The part of a sample that has been received so far.
 
     Attributes
     ----------
     prompt_ids : list of int
-        The prompt as the engine read it; needed to resume.
+        Token ids of the prompt as reported by the engine; needed to resume.
     text : list of str
+        Texts of the events.
     token_ids : list of int
     labeller : Labeller
     finish_reason : str
-        Empty until it is whole.
+        Empty until the sample is complete.
     streams : int
-        How many streams it came from.
+        Number of streams that contributed to it.
     """
 
     prompt_ids: list[int] = attrs.field(factory=list)
@@ -95,7 +104,7 @@
     streams: int = 0
 
     def add_event(self, event: CompletionEvent) -> None:
-        """Take one event."""
+        """Append the text and tokens of one event."""
         self.prompt_ids = self.prompt_ids or event.prompt_ids
         self.text.append(event.text)
         self.token_ids += event.token_ids
@@ -104,11 +113,15 @@
 
     @property
     def is_resumable(self) -> bool:
-        """Whether another engine can go on with it, all tokens labelled."""
+        """Whether another engine can resume it with a known version for each token."""
         return bool(self.prompt_ids) and not self.labeller.bare
 
     def spans(self, reported: list[Span]) -> list[Span]:
-        """Return the labels; ``told`` by the sidecar where events carry none."""
+        """Return the weight versions of the tokens as spans.
+
+        If events contained no version, the spans ``reported`` by the sidecar are used.
+        They describe one stream, so a sample from several streams has none.
+        """
         if not self.labeller.bare:
             return self.labeller.spans
         return reported if self.streams == 1 else []
@@ -122,7 +135,7 @@
     process : Process
     dispatcher : Dispatcher
     name : str
-        The trainer's.
+        Name of the trainer.
     """
 
     def __init__(self, process: Process, dispatcher: Dispatcher, name: str):
@@ -136,7 +149,7 @@
         self.migrated = 0
 
     def count_wasted(self, tokens: int, why: str) -> None:
-        """Count tokens that were generated and thrown away."""
+        """Count tokens that were generated and then discarded."""
         if tokens:
             metrics = self.process.metrics
             metrics.count("tokens_wasted", tokens, trainer=self.name, why=why)
@@ -144,9 +157,10 @@
     async def generate_sample(
         self, group: Group, number: int, urgency: int
     ) -> Sample | None:
-        """Generate one whole and labelled sample.
+        """Generate one complete sample with a known weight version for each token.
 
-        None where the engine rejects it, or engines end under it.
+        Returns None if engines reject the request ``MAX_REJECTIONS`` times, or if it
+        is held back because it crashed engines.
         """
         partial, avoid, rejections = PartialSample(), set(), 0
         while rejections < MAX_REJECTIONS:
@@ -175,10 +189,10 @@
     def make_job(
         self, group: Group, partial: PartialSample, urgency: int, avoid: set
     ) -> Job:
-        """Return the request for a sample, or for the rest of it."""
-        resumed = partial.prompt_ids + partial.token_ids
+        """Return the request for a sample, or for its remaining tokens."""
+        prefix_ids = partial.prompt_ids + partial.token_ids
         body = {
-            "prompt": resumed if partial.token_ids else group.prompt,
+            "prompt": prefix_ids if partial.token_ids else group.prompt,
             "max_tokens": group.max_tokens - len(partial.token_ids),
             "temperature": group.temperature,
             "stream": True,
@@ -199,14 +213,23 @@
             share=self.trainer.share,
             affinity=group.prompt,
             avoid=avoid,
-            # Not its body, which grows with what was generated.
+            # Not the body, which differs for each resumption of the same sample.
             identity=group.prompt,
         )
 
     async def read_stream(
         self, streamed: Streamed, partial: PartialSample, avoid: set
     ) -> PartialSample:
-        """Read a stream; return what there is, to finish or to resume."""
+        """Read a stream to its end, or until it breaks, is too slow or is stale.
+
+        A sidecar whose stream is too slow is added to ``avoid``.
+
+        Returns
+        -------
+        PartialSample
+            ``partial`` with the tokens received, to complete or resume; an empty one
+            if the tokens were discarded.
+        """
         partial.streams += 1
         before, began = len(partial.token_ids), self.clock.monotonic()
         reason = ""
@@ -219,7 +242,12 @@
                 self.check_speed(partial, before, began)
         except (LinkError, UnreadableEvent) as error:
             reason = "broken"
-            log.info("A sample of {} broke: {}.", self.name, error)
+            log.info(
+                "Stream of a sample of trainer {} broke after {} tokens: {}.",
+                self.name,
+                len(partial.token_ids) - before,
+                error,
+            )
         except StreamTooSlow:
             reason = "slow"
             self.migrated += 1
@@ -234,10 +262,10 @@
         return partial
 
     async def iter_events(self, streamed: Streamed):
-        """Yield the events of a stream; raises `TooSlow` where it stalls."""
+        """Yield the events of a stream; raises `StreamTooSlow` if it stalls."""
         pool = self.process.active_revision.catalog.pools.get(self.trainer.pool)
         dialect = DIALECTS[pool.dialect if pool else "plain"]
-        rest = b""
+        incomplete = b""
         chunks = aiter(streamed.chunks)
         while True:
             try:
@@ -249,40 +277,43 @@
                 return
             except TimeoutError as error:
                 raise StreamTooSlow from error
-            *lines, rest = (rest + data).split(b"\n")
+            *lines, incomplete = (incomplete + data).split(b"\n")
             for event in parse_events(lines, dialect):
                 yield event
 
     def may_migrate(self) -> bool:
-        """Tell whether a stream that stalls may move to another backend server."""
+        """Return whether a stalled stream may be moved to another backend server."""
         others = len(self.process.view.sidecars(self.trainer.pool)) > 1
         return others and self.trainer.move_stragglers
 
     def is_stale(self, partial: PartialSample) -> bool:
-        """Tell whether a sample has become too old already."""
+        """Return whether the sample already contains a version below the minimum."""
         spans = partial.labeller.spans
         return bool(spans) and min(span.version for span in spans) < self.min_version
 
     def check_speed(self, partial: PartialSample, before: int, began: float) -> None:
-        """Raise `TooSlow` where the stream crawls beside what others do."""
+        """Raise `StreamTooSlow` if the stream is much slower than recent streams.
+
+        A sample that may not be moved, or has been moved too often, is not checked.
+        """
         tokens = len(partial.token_ids) - before
-        stays = partial.streams > MAX_MIGRATIONS or not partial.is_resumable
-        stays |= not self.trainer.move_stragglers
-        if stays or tokens < MIN_PACE_TOKENS or len(self.paces) < MIN_PACES:
+        is_fixed = partial.streams > MAX_MIGRATIONS or not partial.is_resumable
+        is_fixed |= not self.trainer.move_stragglers
+        if is_fixed or tokens < MIN_PACE_TOKENS or len(self.paces) < MIN_PACES:
             return
-        usual = sorted(self.paces)[len(self.paces) // 2]
-        if (self.clock.monotonic() - began) / tokens > SLOW_FACTOR * usual:
+        median = sorted(self.paces)[len(self.paces) // 2]
+        if (self.clock.monotonic() - began) / tokens > SLOW_FACTOR * median:
             raise StreamTooSlow
 
     def record_pace(self, tokens: int, began: float) -> None:
-        """Note the time per token of a stream that ended well."""
+        """Record the time per token of a stream that ended normally."""
         if tokens >= MIN_PACE_TOKENS:
             self.paces.append((self.clock.monotonic() - began) / tokens)
 
     def make_sample(
         self, group: Group, number: int, partial: PartialSample, streamed: Streamed
     ) -> Sample | None:
-        """Return a sample that is whole and labelled."""
+        """Return the sample; None if it is incomplete or a token has no version."""
         spans = partial.spans(streamed.spans)
         count = len(partial.token_ids)
         if not partial.finish_reason or not spans or spans[-1].last != count:
@@ -299,7 +330,7 @@
 
 
 def parse_events(lines: list[bytes], dialect: Dialect) -> list[CompletionEvent]:
-    """Return the events in some lines of a completion stream."""
+    """Parse the events in lines of a completion stream."""
     events = []
     for line in lines:
         data = line.removeprefix(b"data:").strip()
@@ -309,7 +340,7 @@
 
 
 def parse_event(data: bytes, dialect: Dialect) -> CompletionEvent:
-    """Return one event of a completion stream."""
+    """Parse one event of a completion stream."""
     try:
         value = json.loads(data)
         choice = (value.get("choices") or [{}])[0]
@@ -321,4 +352,6 @@
             version=dialect.piece(value).version,
         )
     except (ValueError, TypeError, AttributeError, IndexError) as error:
-        raise UnreadableEvent(f"an event cannot be read: {error}") from error
+        raise UnreadableEvent(
+            f"completion event of {len(data)} bytes cannot be parsed: {error}"
+        ) from error
--- a/tests/test_samples.py
+++ b/tests/test_samples.py
@@ -1,4 +1,7 @@
-"""Samples: truly labelled, fresh, each delivered once; over real connections."""
+"""Delivered samples have true weight versions, are fresh and are delivered once.
+
+The tests run entries, sidecars and a stand-in engine over real connections.
+"""
 
 import asyncio
 import json
@@ -14,15 +17,15 @@
 from .system import until
 
 
-def groups(count, start=0, tokens=20):
+def make_groups(count, start=0, tokens=20):
     return [
         Group(f"g{n}", f"prompt {n}", samples=2, max_tokens=tokens)
         for n in range(start, start + count)
     ]
 
 
-def check_labels(delivery):
-    """Check that the spans of each sample cover its tokens exactly."""
+def check_spans(delivery):
+    """Check that the spans of each sample cover its tokens without gap or overlap."""
     for sample in delivery.samples:
         end = 0
         for first, last, _ in sample.spans:
@@ -31,67 +34,67 @@
         assert end == len(sample.token_ids)
 
 
-def check_truth(delivery):
-    """Check each token against the version under which the engine made it."""
+def check_token_versions(delivery):
+    """Check each token's version against the one with which the engine generated it."""
     for sample in delivery.samples:
         for first, last, version in sample.spans:
             for token in sample.token_ids[first:last]:
                 assert token // TOKENS_PER_VERSION == version
 
 
-def test_tokens_across_a_swap_carry_the_versions_that_made_them():
+def test_tokens_before_and_after_a_weight_swap_have_their_own_versions():
     async def work(sys):
         async with sys.trainer() as trainer:
-            await trainer.submit(groups(4, tokens=150))
+            await trainer.submit(make_groups(4, tokens=150))
             pull = asyncio.create_task(trainer.step(1))
             await until(lambda: sys.engines[0].running and sys.engines[0].made > 40)
             await trainer.publish(1, b"w")
             delivery = await pull
-            check_labels(delivery)
-            check_truth(delivery)
+            check_spans(delivery)
+            check_token_versions(delivery)
             assert any(len(sample.spans) > 1 for sample in delivery.samples)
 
     system.run(work, services=0)
 
 
-def test_failed_half_failed_and_late_swaps_are_retried_and_never_believed():
+def test_failed_partial_and_late_swaps_are_retried_and_do_not_set_the_version():
     async def work(sys):
         engine, sidecar = sys.engines[0], sys.sidecars["model-0"]
         engine.faults.fail_swaps, engine.faults.half_swaps = 1, 1
         engine.faults.late_swaps = 1.0
         async with sys.trainer() as trainer:
-            await trainer.submit(groups(4))
+            await trainer.submit(make_groups(4))
             await trainer.publish(1, b"w")
             delivery = await trainer.step(1)
-            check_truth(delivery)
+            check_token_versions(delivery)
             await until(lambda: sidecar.backend.state.version == 1)
             assert engine.version == 1 and engine.fence == sidecar.own.fence
 
     system.run(work, services=0)
 
 
-def test_tokens_without_a_version_across_a_swap_are_discarded():
+def test_tokens_without_version_during_a_swap_are_discarded():
     async def work(sys):
         engine = sys.engines[0]
         engine.faults.bare = True
         async with sys.trainer() as trainer:
-            await trainer.submit(groups(2, tokens=150))
+            await trainer.submit(make_groups(2, tokens=150))
             pull = asyncio.create_task(trainer.step(1))
             await until(lambda: engine.made > 40)
             await trainer.publish(1, b"w")
             delivery = await pull
-            check_labels(delivery)
+            check_spans(delivery)
             assert all(len(sample.spans) == 1 for sample in delivery.samples)
-        wasted = sys.entries[0].metrics.totals
-        assert wasted["tokens_wasted.tr.unlabelled"] > 0
+        totals = sys.entries[0].metrics.totals
+        assert totals["tokens_wasted.tr.unlabelled"] > 0
 
     system.run(work, services=0)
 
 
-def test_a_sidecar_killed_mid_stream_costs_no_sample():
+def test_killed_sidecar_loses_no_sample():
     async def work(sys):
         async with sys.trainer() as trainer:
-            await trainer.submit(groups(2, tokens=150))
+            await trainer.submit(make_groups(2, tokens=150))
             pull = asyncio.create_task(trainer.step(1))
             await until(lambda: sys.engines[0].made > 40)
             await sys.replace_sidecar("model-0")
@@ -102,12 +105,12 @@
                 "g1/0",
                 "g1/1",
             ]
-            check_labels(delivery)
+            check_spans(delivery)
 
     system.run(work, services=0)
 
 
-def test_an_order_of_a_replaced_sidecar_is_refused():
+def test_weight_load_by_a_replaced_sidecar_is_refused():
     async def work(sys):
         old = sys.sidecars["model-0"]
         port = old.backend.address[1]
@@ -122,7 +125,7 @@
     system.run(work, services=0)
 
 
-def test_requests_go_to_the_newer_of_two_sidecars():
+def test_only_the_newer_of_two_sidecars_receives_requests():
     async def work(sys):
         old = sys.sidecars["model-0"]
         new = await sys.add_sidecar("model-0", "model", old.backend.address[1])
@@ -134,13 +137,17 @@
     system.run(work, services=0)
 
 
-def test_the_same_step_from_two_entries_is_the_same():
+def test_step_pulled_through_two_entries_has_the_same_samples():
     async def work(sys):
-        async with sys.trainer(0) as one, sys.trainer(1) as two:
-            await one.submit(groups(6))
-            first, second = await asyncio.gather(one.step(1), two.step(1))
+        async with sys.trainer(0) as first_trainer, sys.trainer(1) as second_trainer:
+            await first_trainer.submit(make_groups(6))
+            first, second = await asyncio.gather(
+                first_trainer.step(1), second_trainer.step(1)
+            )
             assert first == second
-            third, fourth = await asyncio.gather(two.step(2), one.step(2))
+            third, fourth = await asyncio.gather(
+                second_trainer.step(2), first_trainer.step(2)
+            )
             assert third == fourth
             ids = [s.id for s in first.samples + third.samples]
             assert len(ids) == len(set(ids)) == 8
@@ -148,40 +155,40 @@
     system.run(work, services=0, entries=2)
 
 
-def test_an_entry_killed_mid_step_hands_the_trainer_to_another():
+def test_another_entry_completes_the_step_of_a_stopped_entry():
     async def work(sys):
         async with sys.trainer() as trainer:
-            await trainer.submit(groups(4))
+            await trainer.submit(make_groups(4))
             pull = asyncio.create_task(trainer.step(1))
-            held = lambda: [
+            driving_entries = lambda: [
                 e
                 for e in sys.entries
                 if any(d.running for d in e.driver_manager.drivers.values())
             ]
-            holder = (await until(held))[0]
-            await holder.stop()
+            driving = (await until(driving_entries))[0]
+            await driving.stop()
             delivery = await pull
             assert len(delivery.samples) == 4
 
     system.run(work, services=0, entries=2)
 
 
-def test_groups_submitted_twice_count_once():
+def test_groups_submitted_twice_are_accepted_once():
     async def work(sys):
         async with sys.trainer() as trainer:
             sys.tables.lose_next = 1
-            assert await trainer.submit(groups(3)) in (0, 3)
-            assert await trainer.submit(groups(4)) == 1
+            assert await trainer.submit(make_groups(3)) in (0, 3)
+            assert await trainer.submit(make_groups(4)) == 1
             rows = await sys.tables.scan("groups", "tr/")
             assert [row.value["id"] for row in rows] == ["g0", "g1", "g2", "g3"]
 
     system.run(work, services=0)
 
 
-def test_with_the_store_down_what_is_ready_waits_and_nothing_goes_stale():
+def test_ready_groups_are_stored_after_an_outage_and_stale_ones_not_delivered():
     async def work(sys):
         async with sys.trainer() as trainer:
-            await trainer.submit(groups(4))
+            await trainer.submit(make_groups(4))
             pull = asyncio.create_task(trainer.step(1))
             await until(lambda: sys.engines[0].made > 5)
             sys.tables.down = True
@@ -197,7 +204,7 @@
     system.run(work, services=0)
 
 
-def test_a_prompt_that_the_engine_rejects_is_set_aside_with_its_reason():
+def test_prompt_rejected_by_the_engine_fails_its_group_with_a_reason():
     async def work(sys):
         engine = sys.engines[0]
         inner = engine.complete
@@ -209,7 +216,7 @@
 
         engine.complete = complete
         async with sys.trainer() as trainer:
-            await trainer.submit(groups(3))
+            await trainer.submit(make_groups(3))
             delivery = await trainer.step(1)
             assert {s.id[:2] for s in delivery.samples} == {"g1", "g2"}
             row = ("groups", "", "tr/000000000001")
@@ -220,7 +227,7 @@
     system.run(work, services=0)
 
 
-def test_a_sidecar_that_leaves_refuses_first_and_finishes_what_runs():
+def test_draining_sidecar_refuses_new_requests_and_finishes_running_ones():
     async def work(sys):
         engine, sidecar = sys.engines[0], sys.sidecars["model-0"]
         engine.speed.step = 0.005
@@ -241,7 +248,7 @@
     system.run(work, services=0)
 
 
-def test_operators_drain_outlives_the_sidecar():
+def test_drain_by_an_operator_also_applies_to_a_replaced_sidecar():
     async def work(sys):
         address = sys.entries[0].operator_address
         answer = await Fetcher().fetch(address, "POST", "/v1/drain?name=model-0")
