--- a/gypsumshift/remote.py
+++ b/gypsumshift/remote.py
@@ -1,4 +1,4 @@
-"""Remote: the platform's services over HTTP and JSON, as the stand-in speaks them."""
+"""Client of the platform's services over HTTP and JSON, as the stand-in serves them."""
 
 import json
 import urllib.parse
@@ -25,17 +25,17 @@
 
 
 def quote_segment(name: str) -> str:
-    """Return a name as one part of a path."""
+    """Quote a name as one segment of a URL path."""
     return urllib.parse.quote(name, safe="")
 
 
 class PlatformClient:
-    """Calls one platform over HTTP.
+    """Sends HTTP requests to one platform.
 
     Parameters
     ----------
     address : (str, int)
-        IP number and port.
+        IP address and port.
     """
 
     def __init__(self, address: tuple[str, int]):
@@ -43,7 +43,7 @@
         self.fetcher = Fetcher()
 
     async def read(self, target: str) -> bytes | Missing | Unavailable:
-        """Read something; reading has no unknown end."""
+        """Send a GET request; failures are `Unavailable`, as a read has no effect."""
         try:
             answer = await self.fetcher.fetch(
                 self.address, "GET", target, timeout=READ_TIMEOUT_S
@@ -53,16 +53,16 @@
         if answer.status == 404:
             return Missing()
         if answer.status != 200:
-            return Unavailable(f"status {answer.status}")
+            return Unavailable(f"GET {target} returned status {answer.status}")
         return answer.body
 
     async def read_json(self, target: str) -> object:
-        """Read something and parse it."""
+        """Send a GET request and parse the body as JSON."""
         data = await self.read(target)
         return json.loads(data) if isinstance(data, bytes) else data
 
     async def write(self, method: str, target: str, body: bytes = b"") -> Written:
-        """Write something; an answer that is lost leaves the outcome unknown."""
+        """Send a write request; `Unknown` if it was sent but not answered."""
         try:
             answer = await self.fetcher.fetch(
                 self.address, method, target, JSON_HEADERS, body, WRITE_TIMEOUT_S
@@ -73,14 +73,14 @@
 
 
 def write_outcome(answer: FetchedResponse) -> Written:
-    """Return the outcome that a status says."""
+    """Return the outcome of a write request by the status of its response."""
     if answer.status in (200, 201, 204):
         return Committed()
     if answer.status in (409, 412):
         return Conflict(answer.body.decode("utf-8", "replace"))
     if answer.status == 503:
-        return Unavailable("the platform says that it is down")
-    return Unknown(f"status {answer.status}")
+        return Unavailable("the platform returned status 503 for a write")
+    return Unknown(f"the platform returned status {answer.status} for a write")
 
 
 class RemoteTables(platforms.Tables):
@@ -90,13 +90,13 @@
         self.client = client
 
     async def read(self, table, key):
-        """Return one row."""
+        """Read one row."""
         target = f"/tables/{quote_segment(table)}/{quote_segment(key)}"
         value = await self.client.read_json(target)
         return Row(**value) if isinstance(value, dict) else value
 
     async def scan(self, table, prefix):
-        """Return the rows whose keys begin with ``prefix``, in the keys' order."""
+        """Read the rows whose keys begin with ``prefix``, in order of their keys."""
         target = f"/tables/{quote_segment(table)}?prefix={quote_segment(prefix)}"
         value = await self.client.read_json(target)
         if isinstance(value, Missing):
@@ -104,7 +104,7 @@
         return [Row(**row) for row in value] if isinstance(value, list) else value
 
     async def commit(self, writes):
-        """Apply all writes, or none where a condition does not hold."""
+        """Apply all writes, or none if a condition does not hold."""
         body = json.dumps([attrs.asdict(write) for write in writes]).encode()
         return await self.client.write("POST", "/tables", body)
 
@@ -116,15 +116,15 @@
         self.client = client
 
     async def put(self, name, data):
-        """Store an object once; a conflict says that the name is taken."""
+        """Store an object once; `Conflict` if the name is in use."""
         return await self.client.write("PUT", f"/objects/{quote_segment(name)}", data)
 
     async def get(self, name):
-        """Return an object's bytes."""
+        """Read the content of an object."""
         return await self.client.read(f"/objects/{quote_segment(name)}")
 
     async def delete(self, name):
-        """Remove an object; removing what is not there succeeds."""
+        """Delete an object; succeeds if it is absent."""
         return await self.client.write("DELETE", f"/objects/{quote_segment(name)}")
 
 
@@ -148,20 +148,20 @@
         self.client = client
 
     async def announce(self, host):
-        """Put this process on the list."""
+        """Add this process to the host list."""
         body = json.dumps(attrs.asdict(host)).encode()
         return await self.client.write(
             "PUT", f"/hosts/{quote_segment(host.name)}", body
         )
 
     async def list(self):
-        """Return the list, which may be old."""
+        """Read the host list, which may be outdated."""
         value = await self.client.read_json("/hosts")
         return [Host(**host) for host in value] if isinstance(value, list) else value
 
 
 def connect(url: str) -> platforms.Platform:
-    """Return the platform behind an ``http:`` URL."""
+    """Return the platform that is reached by an ``http:`` URL."""
     parts = urllib.parse.urlsplit(url)
     caller = PlatformClient((parts.hostname, parts.port or 80))
     return platforms.Platform(
--- a/gypsumshift/revisions.py
+++ b/gypsumshift/revisions.py
@@ -1,4 +1,4 @@
-"""Revisions: the history of accepted declarations, and what is in force here."""
+"""History of accepted declarations, and the revision that is active in this process."""
 
 import asyncio
 import json
@@ -31,17 +31,17 @@
 
 @attrs.frozen
 class AcceptedRevision:
-    """One accepted revision.
+    """One accepted revision of the declarations.
 
     Attributes
     ----------
     number : int
-        From 1; 0 stands for the empty declarations before the first.
+        From 1; 0 denotes the empty declarations before the first revision.
     author, message : str
     time : str
-        ISO 8601, UTC, by the accepting entry's clock; for people only.
+        ISO 8601, UTC, by the clock of the entry that accepted it. Informational only.
     token : str
-        Chosen by whoever applied it, to recognize it after a lost answer.
+        Chosen by the client that applied it, to identify it after a lost answer.
     declarations : dict
     """
 
@@ -54,12 +54,12 @@
 
 
 def revision_key(number: int) -> str:
-    """Return the key of a revision's row; keys sort as their numbers do."""
+    """Return the key of a revision's row; keys sort in order of their numbers."""
     return f"{number:012d}"
 
 
 class RevisionHistory:
-    """The history of accepted revisions in the table service.
+    """Reads and extends the history of accepted revisions in the table service.
 
     Parameters
     ----------
@@ -72,7 +72,7 @@
         self.clock = clock
 
     async def read_newest_number(self) -> int | Unavailable:
-        """Return the newest accepted number."""
+        """Read the number of the newest accepted revision; 0 if there is none."""
         row = await self.tables.read(HEADS_TABLE, CONFIG_HEAD_KEY)
         if isinstance(row, Unavailable):
             return row
@@ -81,7 +81,7 @@
     async def read_revision(
         self, number: int
     ) -> AcceptedRevision | Missing | Unavailable:
-        """Return one revision."""
+        """Read one revision."""
         if number == 0:
             return AcceptedRevision(0)
         row = await self.tables.read(HISTORY_TABLE, revision_key(number))
@@ -92,7 +92,7 @@
         )
 
     async def read_all(self) -> list[AcceptedRevision] | Unavailable:
-        """Return all revisions, oldest first."""
+        """Read all revisions, oldest first."""
         rows = await self.tables.scan(HISTORY_TABLE, "")
         if isinstance(rows, Unavailable):
             return rows
@@ -101,17 +101,18 @@
     async def apply(
         self, base: int, source: dict, author: str, message: str, token: str
     ) -> AcceptedRevision | Conflict | Unavailable | Unknown:
-        """Accept declarations on top of revision ``base``.
+        """Accept declarations as the revision after ``base``.
 
         Parameters
         ----------
         base : int
-            Revision that was planned on; any other head is a conflict.
+            Revision on which the change was planned. If another one is the newest,
+            the result is a conflict.
         source : dict
-            Checked declarations.
+            Declarations that have been checked.
         author, message : str
         token : str
-            Unique to this apply; the same token twice is accepted once.
+            Unique to this apply; applying with the same token again has no effect.
         """
         accepted = AcceptedRevision(
             number=base + 1,
@@ -127,19 +128,25 @@
                 return accepted
             if isinstance(outcome, Unavailable):
                 return outcome
-            settled = await self.resolve_uncertain(accepted, outcome)
-            if settled is not None:
-                return settled
-        return Unknown("the platform's answer was lost; run the same apply again")
+            resolved = await self.resolve_uncertain(accepted, outcome)
+            if resolved is not None:
+                return resolved
+        return Unknown(
+            f"no answer from the platform whether revision {accepted.number} was"
+            " accepted; run the same apply again"
+        )
 
     async def commit_revision(self, accepted: AcceptedRevision):
-        """Write a revision and move the head, in one transaction."""
+        """Write a revision and set it as the newest in one transaction."""
         head = await self.tables.read(HEADS_TABLE, CONFIG_HEAD_KEY)
         if isinstance(head, Unavailable):
             return head
         number = 0 if isinstance(head, Missing) else head.value["number"]
         if number != accepted.number - 1:
-            return Conflict(f"revision {number} is the newest")
+            return Conflict(
+                f"the change is based on revision {accepted.number - 1},"
+                f" but revision {number} is the newest"
+            )
         version = ABSENT if isinstance(head, Missing) else head.version
         value = {"number": accepted.number}
         row = attrs.asdict(accepted)
@@ -151,21 +158,31 @@
         )
 
     async def resolve_uncertain(self, accepted: AcceptedRevision, outcome):
-        """Tell by the token whose revision took the number; None to try again."""
+        """Find out by the token which revision has the number after a failed commit.
+
+        Returns
+        -------
+        AcceptedRevision, Conflict, Unknown, or None to try again
+        """
         found = await self.read_revision(accepted.number)
         if isinstance(found, Unavailable):
             if isinstance(outcome, Conflict):
                 return outcome
-            return Unknown("the platform's answer was lost; run the same apply again")
+            return Unknown(
+                f"no answer from the platform whether revision {accepted.number} was"
+                " accepted; run the same apply again"
+            )
         if isinstance(found, Missing):
             return outcome if isinstance(outcome, Conflict) else None
         if found.token == accepted.token:
             return found
-        return Conflict(f"revision {found.number} by {found.author}: {found.message}")
+        return Conflict(
+            f"revision {found.number} was accepted from {found.author}: {found.message}"
+        )
 
 
 class ActiveRevision:
-    """The revision in force in this process; only ever moves up.
+    """The revision that is active in this process; its number never decreases.
 
     Parameters
     ----------
@@ -181,11 +198,14 @@
 
     @property
     def ready(self) -> bool:
-        """Whether any revision is in force, be it the empty one."""
+        """Whether any revision is active, including the empty revision 0."""
         return self.number >= 0
 
     def activate_if_newer(self, number: int, text: str) -> bool:
-        """Put a revision in force where it is newer than the present one."""
+        """Activate a revision if it is newer than the active one and readable.
+
+        Returns whether it was activated.
+        """
         if number <= self.number:
             return False
         catalog = Catalog() if number == 0 else self.parse_catalog(number, text)
@@ -193,16 +213,21 @@
             return False
         self.number, self.text, self.catalog = number, text, catalog
         self.recorder.note("revision", f"revision-{number}", "in force")
-        log.info("Revision {} is in force.", number)
+        log.info("Revision {} is active.", number)
         self.changed.set()
         self.changed = asyncio.Event()
         return True
 
     def parse_catalog(self, number: int, text: str) -> Catalog | None:
-        """Return the catalog of an accepted revision; None where it is not readable."""
+        """Parse an accepted revision; None if it does not fit this program's schema."""
         catalog = declarations.parse(json.loads(text), f"revision {number}")
         if isinstance(catalog, Invalid):
-            # An older program beside a newer schema: keep what is in force.
-            log.error("Revision {} is not understood: {}.", number, catalog.problems[0])
+            # The declarations may have been accepted by a newer program whose schema
+            # this program lacks.
+            log.error(
+                "Revision {} cannot be parsed: {}; the active revision is kept.",
+                number,
+                catalog.problems[0],
+            )
             return None
         return catalog
--- a/gypsumshift/weightpublisher.py
+++ b/gypsumshift/weightpublisher.py
@@ -1,4 +1,4 @@
-"""Publication: naming a new weight version to everyone."""
+"""Publishing of new weight versions of pools."""
 
 from gypsumshift.outcomes import Committed, Missing, Unavailable, Unknown, Written
 from gypsumshift.platforms import ABSENT, Write
@@ -12,7 +12,7 @@
 
 
 class WeightPublisher:
-    """Publishes weights of pools.
+    """Stores the weights of pools and announces their versions.
 
     Parameters
     ----------
@@ -24,7 +24,7 @@
         self.tables = process.platform.tables
 
     async def publish(self, pool: str, version: int, data: bytes, by: str) -> Written:
-        """Store the weights, then name the version; doing it twice is harmless.
+        """Store the weights, then set the pool's newest version; idempotent.
 
         Parameters
         ----------
@@ -32,7 +32,7 @@
         version : int
         data : bytes
         by : str
-            Who publishes.
+            Name of the trainer or operator that publishes, for information.
         """
         stored = await self.process.platform.weights.publish(pool, version, data)
         if isinstance(stored, (Unavailable, Unknown)):
@@ -44,10 +44,13 @@
                 return outcome
             if isinstance(outcome, Unavailable):
                 return outcome
-        return Unknown("the platform's answer was lost")
+        return Unknown(
+            f"no answer from the platform whether version {version} was set as the"
+            f" newest of pool {pool}, in {MAX_TRIES} tries"
+        )
 
     async def set_newest_version(self, pool: str, version: int, by: str) -> Written:
-        """Name a version as the newest of a pool, where it is."""
+        """Set a version as the newest of a pool, unless that one is as new or newer."""
         key = WEIGHTS_PREFIX + pool
         row = await self.tables.read(HEADS_TABLE, key)
         if isinstance(row, Unavailable):
--- a/gypsumshift/weightrollout.py
+++ b/gypsumshift/weightrollout.py
@@ -1,8 +1,8 @@
-"""Rollout: one sidecar brings its backend server to the newest weights, in waves.
+"""Loading of new weights into the backend servers of a pool, in waves.
 
-There is no leader. Each sidecar knows the pool's backend servers and the version,
-so each finds its own wave; it goes once it has heard that the waves before it are
-through, or once they had the time declared for that.
+There is no leader. Each sidecar computes its own wave from the names of the pool's
+backend servers and the version. It loads the weights as soon as heartbeats report that
+all earlier waves have loaded them, or after the time declared for the earlier waves.
 """
 
 import asyncio
@@ -19,20 +19,20 @@
 VERSION_CHECK_PERIOD_S = 1.0
 MAX_CLIENT_WAIT_S = 0.3
 CLIENT_CHECK_PERIOD_S = 0.01
-FIRST_RETRY_DELAY_S = 0.25
+RETRY_DELAY_BASE_S = 0.25
 MAX_RETRY_DELAY_S = 10.0
 
 
 def plan_waves(backends: set[str], version: int, floor: float) -> list[list[str]]:
-    """Return the backend servers of a pool in the waves that load a version.
+    """Divide the backend servers of a pool into the waves that load a version.
 
     Parameters
     ----------
     backends : set of str
     version : int
-        Shuffles the order, so that no backend server is always the last.
+        Determines the order, so that no backend server is always in the last wave.
     floor : float
-        Share of the pool that keeps serving.
+        Share of the pool that continues serving during each wave.
     """
     order = sorted(backends, key=lambda name: rank(str(version), name))
     size = max(1, int(len(order) * (1 - floor) + 1e-9))
@@ -40,7 +40,7 @@
 
 
 class WeightRollout:
-    """Follows the newest published version of the pool.
+    """Loads the newest published version of the pool into one backend server.
 
     Parameters
     ----------
@@ -68,22 +68,25 @@
 
     @property
     def target(self) -> int:
-        """Newest published version known here."""
+        """Newest published version known to this sidecar; 0 if there is none."""
         return self.process.targets.get(self.process.own.pool, 0)
 
     async def run(self) -> None:
-        """Load each newer version when this one's wave comes."""
+        """Load each newer version when this backend server's wave may start.
+
+        Ends if a newer sidecar of the backend server has replaced this one.
+        """
         tries = 0
         while True:
-            held = self.backend.state.version
-            if not self.process.own.fence or held is None or held >= self.target:
+            loaded = self.backend.state.version
+            if not self.process.own.fence or loaded is None or loaded >= self.target:
                 tries = 0
                 await self.wait_for_new_version()
                 continue
             if tries == 0:
                 await self.wait_for_wave(self.target)
             if await self.fence.deposed():
-                self.process.leave("a newer sidecar gives the orders")
+                self.process.leave("a newer sidecar controls this backend server")
                 return
             await self.wait_for_client_requests()
             if await self.backend.load_weights(self.target, self.process.own.fence):
@@ -92,11 +95,14 @@
                 continue
             tries += 1
             await self.clock.sleep(
-                min(FIRST_RETRY_DELAY_S * 2**tries, MAX_RETRY_DELAY_S)
+                min(RETRY_DELAY_BASE_S * 2**tries, MAX_RETRY_DELAY_S)
             )
 
     async def wait_for_new_version(self) -> None:
-        """Wait for a new version; look once in a while whether the engine lost its."""
+        """Wait for a new version, at most until the next check of the loaded one.
+
+        The engine may have lost its weights, for example by a restart.
+        """
         try:
             async with asyncio.timeout(VERSION_CHECK_PERIOD_S):
                 await self.wake.wait()
@@ -105,9 +111,10 @@
         self.wake.clear()
 
     async def wait_for_client_requests(self) -> None:
-        """Send new clients elsewhere; wait a moment for those that run.
+        """Direct new client requests elsewhere; wait briefly for running ones to end.
 
-        Samples go on: they are paused by the swap, and labelled per token.
+        Samples continue: the swap pauses them, and each token gets the weight version
+        that generated it.
         """
         self.backend.swapping = True
         self.process.heartbeats.wake.set()
@@ -117,7 +124,7 @@
             await self.clock.sleep(CLIENT_CHECK_PERIOD_S)
 
     async def wait_for_wave(self, version: int) -> None:
-        """Wait until the waves before this one's are through, or had their time."""
+        """Wait until earlier waves have loaded the version or their time has passed."""
         own = self.process.own
         sidecars = self.process.view.sidecars(own.pool)
         backends = {known.member.backend for known in sidecars} | {own.backend}
@@ -134,9 +141,9 @@
             await self.clock.sleep(WAVE_CHECK_PERIOD_S)
 
     def all_loaded(self, earlier: set[str], version: int) -> bool:
-        """Tell whether all these backend servers are known to have a version."""
-        held = {
+        """Return whether all the given backend servers report at least a version."""
+        loaded = {
             known.member.backend: known.member.version
             for known in self.process.view.sidecars(self.process.own.pool)
         }
-        return all(held.get(name, 0) >= version for name in earlier)
+        return all(loaded.get(name, 0) >= version for name in earlier)
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -1,4 +1,8 @@
-"""Revisions are accepted once, in one order, and never revert anywhere."""
+"""Revisions are accepted once and in one order, and processes never activate older ones.
+
+The state machine covers concurrent applies through two entries, lost answers and
+dropped writes of the platform, its outages, and process restarts.
+"""
 
 import asyncio
 import json
@@ -12,12 +16,12 @@
 from . import builders
 
 
-def source(name):
+def declarations_with_zone(name):
     return {"zones": [name]}
 
 
 class RevisionMachine(RuleBasedStateMachine):
-    """Operators race through two entries; processes learn from anybody."""
+    """Operators apply concurrently; processes read from the platform and each other."""
 
     def __init__(self):
         super().__init__()
@@ -33,10 +37,10 @@
     def teardown(self):
         self.loop.close()
 
-    def settle(self, token, outcome):
+    def record_outcome(self, token, outcome):
         if isinstance(outcome, AcceptedRevision):
             known = self.accepted.setdefault(outcome.number, outcome)
-            assert known == outcome, "one number, two revisions"
+            assert known == outcome, "two revisions have the same number"
         elif isinstance(outcome, (Conflict, Unavailable)):
             self.refused.add(token)
 
@@ -44,25 +48,33 @@
     def apply(self, base, who):
         self.count += 1
         token = f"token-{self.count}"
-        work = self.histories[who].apply(base, source(token), "a", "m", token)
-        self.settle(token, self.loop.run_until_complete(work))
+        work = self.histories[who].apply(
+            base, declarations_with_zone(token), "a", "m", token
+        )
+        self.record_outcome(token, self.loop.run_until_complete(work))
 
     @rule()
-    def race(self):
+    def apply_concurrently(self):
         base = max(self.accepted, default=0)
         self.count += 1
 
         async def both():
             return await asyncio.gather(
                 *(
-                    history.apply(base, source(f"r{n}"), "a", "m", f"{self.count}-{n}")
+                    history.apply(
+                        base,
+                        declarations_with_zone(f"r{n}"),
+                        "a",
+                        "m",
+                        f"{self.count}-{n}",
+                    )
                     for n, history in enumerate(self.histories)
                 )
             )
 
         outcomes = self.loop.run_until_complete(both())
         for number, outcome in enumerate(outcomes):
-            self.settle(f"{self.count}-{number}", outcome)
+            self.record_outcome(f"{self.count}-{number}", outcome)
         assert sum(isinstance(outcome, AcceptedRevision) for outcome in outcomes) <= 1
 
     @rule(process=st.integers(0, 2))
@@ -76,41 +88,41 @@
         self.processes[process].activate_if_newer(head, text)
         assert self.processes[process].number >= before
 
-    @rule(teller=st.integers(0, 2), hearer=st.integers(0, 2))
-    def hear_from_neighbour(self, teller, hearer):
-        told = self.processes[teller]
-        before = self.processes[hearer].number
-        if told.ready:
-            self.processes[hearer].activate_if_newer(told.number, told.text or "{}")
-        assert self.processes[hearer].number >= before
+    @rule(sender=st.integers(0, 2), receiver=st.integers(0, 2))
+    def receive_from_neighbour(self, sender, receiver):
+        sent = self.processes[sender]
+        before = self.processes[receiver].number
+        if sent.ready:
+            self.processes[receiver].activate_if_newer(sent.number, sent.text or "{}")
+        assert self.processes[receiver].number >= before
 
     @rule(process=st.integers(0, 2))
     def replace_process(self, process):
         self.processes[process] = ActiveRevision(builders.recorder())
 
     @rule(down=st.booleans())
-    def platform_down(self, down):
+    def set_platform_down(self, down):
         self.tables.down = down
 
     @rule(lose=st.integers(0, 2), drop=st.integers(0, 2))
-    def platform_loses(self, lose, drop):
+    def lose_or_drop_commits(self, lose, drop):
         self.tables.lose_next, self.tables.drop_next = lose, drop
 
     @invariant()
-    def accepted_stays(self):
+    def accepted_revisions_are_kept(self):
         rows = {
             row.value["number"]: row.value
             for (table, _, _), row in self.tables.rows.items()
             if table == "revisions"
         }
-        assert sorted(rows) == list(range(1, len(rows) + 1)), "a gap"
+        assert sorted(rows) == list(range(1, len(rows) + 1)), "a number is missing"
         for number, accepted in self.accepted.items():
-            assert rows[number]["token"] == accepted.token, "reverted"
+            assert rows[number]["token"] == accepted.token, "a revision changed"
         tokens = {row["token"] for row in rows.values()}
-        assert not tokens & self.refused, "refused, yet accepted"
+        assert not tokens & self.refused, "a refused revision was accepted"
 
     @invariant()
-    def in_force_is_what_was_accepted(self):
+    def active_revision_was_accepted(self):
         for process in self.processes:
             if process.number > 0:
                 row = self.tables.rows["revisions", "", f"{process.number:012d}"]
@@ -123,43 +135,47 @@
 TestRevisions = RevisionMachine.TestCase
 
 
-def test_a_lost_answer_is_settled_by_the_token():
+def test_apply_with_a_lost_answer_returns_the_accepted_revision():
     tables = builders.FaultyTables()
     history = RevisionHistory(tables, builders.ManualClock())
     tables.lose_next = 1
-    outcome = asyncio.run(history.apply(0, source("a"), "a", "m", "token"))
+    outcome = asyncio.run(
+        history.apply(0, declarations_with_zone("a"), "a", "m", "token")
+    )
     assert isinstance(outcome, AcceptedRevision) and outcome.number == 1
 
 
-def test_the_same_token_again_finds_its_own_revision():
+def test_applying_the_same_token_again_returns_the_same_revision():
     tables = builders.FaultyTables()
     history = RevisionHistory(tables, builders.ManualClock())
 
     async def work():
-        await history.apply(0, source("a"), "a", "m", "token")
-        again = await history.apply(0, source("a"), "a", "m", "token")
+        await history.apply(0, declarations_with_zone("a"), "a", "m", "token")
+        again = await history.apply(0, declarations_with_zone("a"), "a", "m", "token")
         assert isinstance(again, AcceptedRevision) and again.number == 1
         assert await history.read_newest_number() == 1
 
     asyncio.run(work())
 
 
-def test_a_lost_write_while_the_platform_goes_down_is_unknown():
+def test_apply_with_a_lost_answer_and_a_following_outage_is_unknown():
     tables = builders.FaultyTables()
     history = RevisionHistory(tables, builders.ManualClock())
 
-    class GoesDown(builders.FaultyTables):
+    class TablesFailingAfterCommit(builders.FaultyTables):
         async def commit(self, writes):
             outcome = await super().commit(writes)
             self.down = True
             return Unknown("lost") if outcome else outcome
 
-    history = RevisionHistory(GoesDown(), builders.ManualClock())
-    outcome = asyncio.run(history.apply(0, source("a"), "a", "m", "token"))
+    history = RevisionHistory(TablesFailingAfterCommit(), builders.ManualClock())
+    outcome = asyncio.run(
+        history.apply(0, declarations_with_zone("a"), "a", "m", "token")
+    )
     assert isinstance(outcome, Unknown)
 
 
-def test_a_revision_that_is_not_understood_leaves_the_old_in_force():
+def test_unreadable_revision_leaves_the_previous_one_active():
     process = ActiveRevision(builders.recorder())
     assert process.activate_if_newer(1, '{"zones": ["a"]}')
     assert not process.activate_if_newer(2, '{"news": ["b"]}')
