--- a/gypsumshift/idempotency.py
+++ b/gypsumshift/idempotency.py
@@ -1,8 +1,9 @@
-"""Keys: requests that may not be repeated, each run at most once per key.
+"""Requests with idempotency keys: each runs at most once per key.
 
-A row of the table service owns each key. It is claimed for one attempt at one
-sidecar before anything is sent, and handed to another attempt only after that
-sidecar has barred the first. Where neither can be told the answer is "unknown".
+Each key has one row in the table service. The row is claimed for one attempt at one
+sidecar before anything is sent. Another attempt replaces the claim only after that
+sidecar has barred the first attempt, which means that it never starts there. If the
+state of the first attempt cannot be determined, the outcome is "unknown".
 """
 
 import base64
@@ -33,6 +34,7 @@
 KEYS_TABLE = "keys"
 CLAIMED = "claimed"
 DONE = "done"
+# Larger response bodies are stored as objects instead of in the key's row.
 MAX_INLINE_BODY_BYTES = 16 * 1024
 MAX_ATTEMPTS = 8
 MAX_CLAIM_TRIES = 4
@@ -44,12 +46,12 @@
 
 @attrs.frozen
 class KeyMismatch:
-    """The key came before with another request."""
+    """The key was used before with a different request."""
 
 
 @attrs.frozen
 class ReplayedAnswer:
-    """The answer that an earlier request with the same key got.
+    """The response to an earlier request with the same key.
 
     Attributes
     ----------
@@ -61,20 +63,20 @@
 
 @attrs.frozen
 class KeyClaim:
-    """Who runs the request of a key.
+    """The attempt and the sidecar to which a key is assigned.
 
     Attributes
     ----------
     digest : str
-        Of the request, to tell a reused key.
+        Digest of the request, to detect a key that is reused for another request.
     attempt : str
     backend : str
     address : str
         Peer address of the sidecar.
     incarnation : int
-        Of the sidecar.
+        Incarnation of the sidecar.
     time : str
-        When it was claimed, for people and the sweeper.
+        Time of the claim, for operators and the removal of old rows.
     """
 
     digest: str
@@ -86,18 +88,18 @@
 
 
 def request_digest(job: Job) -> str:
-    """Return a digest of what a request asks for."""
+    """Return a digest of a request's method, target and body."""
     parts = (job.method.encode(), job.target.encode(), job.body)
     return hashlib.sha256(b"\0".join(parts)).hexdigest()
 
 
 def row_key(workspace: str, key: str) -> str:
-    """Return the key of the row that owns a caller's key."""
+    """Return the key of the row that stores the state of a caller's key."""
     return f"{workspace}/{hashlib.sha256(key.encode()).hexdigest()}"
 
 
 class IdempotentRunner:
-    """Runs requests with keys, at most once each, through any entry.
+    """Runs requests with idempotency keys at most once each, whichever entry gets them.
 
     Parameters
     ----------
@@ -113,13 +115,13 @@
         self.clock = clock
 
     async def run_once(self, key: str, job: Job):
-        """Run a request, or tell what became of it.
+        """Run a request, or return the outcome of an earlier request with the key.
 
         Returns
         -------
-        Whole, Replayed, Mismatch, NotRun or Unknown
+        Whole, ReplayedAnswer, KeyMismatch, NotRun or Unknown
         """
-        place = row_key(job.workspace, key)
+        stored_key = row_key(job.workspace, key)
         digest = request_digest(job)
         row: Row | None = None
         refusal = Refusal(f"no backend server of {job.pool} is known here", 1.0)
@@ -130,33 +132,33 @@
             if known is None or job.deadline <= self.clock.monotonic():
                 break
             claim = self.new_claim(known, digest)
-            owner = await self.claim_key(place, claim, row)
-            if owner is None:
+            stored = await self.claim_key(stored_key, claim, row)
+            if stored is None:
                 return self.undecided_outcome(job)
-            if owner.value["digest"] != digest:
+            if stored.value["digest"] != digest:
                 return KeyMismatch()
-            if owner.value["attempt"] == claim.attempt:
-                result = await self.run_claimed_attempt(place, claim, known, job)
+            if stored.value["attempt"] == claim.attempt:
+                result = await self.run_claimed_attempt(stored_key, claim, known, job)
             else:
-                result = await self.inspect_claim(owner, job)
+                result = await self.inspect_claim(stored, job)
             if not isinstance(result, Refusal):
                 return result
-            row, refusal = owner, result
-        return await self.final_outcome(place, job, refusal)
+            row, refusal = stored, result
+        return await self.final_outcome(stored_key, job, refusal)
 
     def undecided_outcome(self, job: Job) -> NotRun | Unknown:
-        """Return the outcome where the platform cannot say who owns the key.
+        """Return the outcome if the platform does not answer who has claimed the key.
 
-        Nothing was sent now, but only a caller that vouches for a fresh key makes
-        that a true "not run".
+        Nothing was sent by this call, but an earlier request with the key may have
+        run. It is "not run" only if the caller states that the key is new.
         """
         if job.fresh_key:
             return not_run(Refusal("the platform cannot be asked for the key", 1.0))
         return Unknown("the platform cannot be asked whether this key has run")
 
-    async def final_outcome(self, place: str, job: Job, refusal: Refusal):
-        """Return the outcome once nothing is left to try."""
-        row = await self.tables.read(KEYS_TABLE, place)
+    async def final_outcome(self, stored_key: str, job: Job, refusal: Refusal):
+        """Return the outcome after the last attempt, by the state of the key's row."""
+        row = await self.tables.read(KEYS_TABLE, stored_key)
         if isinstance(row, Unavailable):
             return self.undecided_outcome(job)
         if isinstance(row, Missing):
@@ -165,7 +167,7 @@
         return not_run(refusal) if isinstance(result, Refusal) else result
 
     def new_claim(self, known: Known, digest: str) -> KeyClaim:
-        """Return a claim for a new attempt at a sidecar."""
+        """Return a claim of a new attempt at a sidecar."""
         host, port = known.address
         return KeyClaim(
             digest=digest,
@@ -177,26 +179,34 @@
         )
 
     async def claim_key(
-        self, place: str, claim: KeyClaim, row: Row | None
+        self, stored_key: str, claim: KeyClaim, row: Row | None
     ) -> Row | None:
-        """Claim a key, in place of ``row`` where that one was barred.
+        """Claim a key if it is unclaimed or its row is still ``row``.
+
+        Parameters
+        ----------
+        stored_key : str
+            Key of the row.
+        claim : KeyClaim
+        row : Row or None
+            Row of an attempt that was refused or barred, to be replaced.
 
         Returns
         -------
         Row or None
-            Who owns the key now, this claim or another; None where the platform
-            cannot be asked.
+            The row that is stored now, with this claim or another one; None if the
+            platform does not answer.
         """
         expected = ABSENT if row is None else row.version
         value = attrs.asdict(claim) | {"state": CLAIMED}
         for _ in range(MAX_CLAIM_TRIES):
-            write = Write(KEYS_TABLE, place, value, expected)
+            write = Write(KEYS_TABLE, stored_key, value, expected)
             outcome = await self.tables.commit([write])
             if isinstance(outcome, Committed):
-                return Row(KEYS_TABLE, place, expected + 1, value)
+                return Row(KEYS_TABLE, stored_key, expected + 1, value)
             if isinstance(outcome, Unavailable):
                 return None
-            found = await self.tables.read(KEYS_TABLE, place)
+            found = await self.tables.read(KEYS_TABLE, stored_key)
             if isinstance(found, Unavailable):
                 return None
             if isinstance(found, Missing):
@@ -206,23 +216,25 @@
         return None
 
     async def run_claimed_attempt(
-        self, place: str, claim: KeyClaim, known: Known, job: Job
+        self, stored_key: str, claim: KeyClaim, known: Known, job: Job
     ):
-        """Run a claimed attempt."""
+        """Run a claimed attempt and store its answer in the background."""
         job.avoid.add(known.member.name)
         result = await self.dispatcher.attempt(job, known, claim.attempt)
         if isinstance(result, Lost):
             result = await self.dispatcher.settle(job, known, result)
         if isinstance(result, Whole):
-            self.dispatcher.process.spawn(self.store_answer(place, claim, result))
+            self.dispatcher.process.spawn(self.store_answer(stored_key, claim, result))
         return result
 
     async def inspect_claim(self, row: Row, job: Job):
-        """Tell what became of the attempt that owns a key; bars it where it can.
+        """Determine the outcome of the attempt that claimed a key.
+
+        If it has not started, it is barred at its sidecar, so that it never starts.
 
         Returns
         -------
-        Replayed, Unknown, or a Refusal where it never ran and never will
+        ReplayedAnswer, Unknown, or a Refusal if it has not run and never will
         """
         if row.value["state"] == DONE:
             return await self.replay_answer(row)
@@ -233,37 +245,50 @@
             job.deadline,
         )
         if reply.state == AttemptState.NEVER:
-            return Refusal("the attempt before was barred", 0.2)
+            return Refusal("the previous attempt with this key was barred", 0.2)
         if reply.state == AttemptState.DONE:
             return ReplayedAnswer(Whole(reply.head, reply.body, row.value["backend"]))
         if reply.state == AttemptState.RUNNING:
-            return Unknown("the request with this key still runs")
+            return Unknown("the request with this key is still running")
         return await self.reread_claim(row)
 
     async def reread_claim(self, row: Row):
-        """Read the row once more: its answer may have been kept meanwhile."""
+        """Read the row again, as the answer may have been stored in the meantime."""
         found = await self.tables.read(row.table, row.key)
         if isinstance(found, Row) and found.value["state"] == DONE:
             return await self.replay_answer(found)
-        return Unknown("the sidecar that ran the request with this key is gone")
+        return Unknown(
+            f"the sidecar of {row.value['backend']} that was sent the request with this"
+            " key does not report its outcome"
+        )
 
-    async def store_answer(self, place: str, claim: KeyClaim, whole: Whole) -> None:
-        """Keep the answer of a key, trying again while the platform is down."""
+    async def store_answer(
+        self, stored_key: str, claim: KeyClaim, whole: Whole
+    ) -> None:
+        """Store the answer of a key; retry while the platform does not answer."""
         value = attrs.asdict(claim) | {"state": DONE, "status": whole.head.status}
         value["headers"] = [
             [header.name.decode("latin-1"), header.value.decode("latin-1")]
             for header in whole.head.headers
         ]
         for _ in range(MAX_STORE_TRIES):
-            if await self.try_store_answer(place, claim, whole, value):
+            if await self.try_store_answer(stored_key, claim, whole, value):
                 return
             await self.clock.sleep(STORE_RETRY_S)
-        log.warning("Gave up keeping the answer of attempt {}.", claim.attempt)
+        log.warning(
+            "The answer of attempt {} could not be stored in {} tries;"
+            " it cannot be replayed after its sidecar ends.",
+            claim.attempt,
+            MAX_STORE_TRIES,
+        )
 
     async def try_store_answer(
-        self, place: str, claim: KeyClaim, whole: Whole, value
+        self, stored_key: str, claim: KeyClaim, whole: Whole, value
     ) -> bool:
-        """Keep an answer once; return whether there is nothing left to do."""
+        """Try once to store an answer; return whether no further try is needed.
+
+        No try is needed if the row no longer belongs to the attempt.
+        """
         if len(whole.body) <= MAX_INLINE_BODY_BYTES:
             value["body"] = base64.b64encode(whole.body).decode()
         else:
@@ -272,23 +297,25 @@
             if not isinstance(put, (Committed, Conflict)):
                 return False
             value["object"] = name
-        row = await self.tables.read(KEYS_TABLE, place)
+        row = await self.tables.read(KEYS_TABLE, stored_key)
         if isinstance(row, Unavailable):
             return False
         if isinstance(row, Missing) or row.value["attempt"] != claim.attempt:
             return True
         outcome = await self.tables.commit(
-            [Write(KEYS_TABLE, place, value, row.version)]
+            [Write(KEYS_TABLE, stored_key, value, row.version)]
         )
         return isinstance(outcome, Committed)
 
     async def replay_answer(self, row: Row):
-        """Return the answer kept in a row."""
+        """Return the answer that is stored in a row."""
         value = row.value
         if "object" in value:
             body = await self.objects.get(value["object"])
             if not isinstance(body, bytes):
-                return Unknown("the request ran; its answer cannot be read now")
+                return Unknown(
+                    "the request has run, but its stored answer cannot be read now"
+                )
         else:
             body = base64.b64decode(value["body"])
         headers = [
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,4 +1,8 @@
-"""At most once per key, whatever is lost, restarted or asked twice."""
+"""Requests run at most once per key, despite lost messages, restarts and repetitions.
+
+The state machine covers refused, lost and late attempts, sidecar restarts, outages of
+the platform and concurrent requests with the same key.
+"""
 
 import asyncio
 import collections
@@ -17,12 +21,19 @@
 
 from . import builders
 
-FATES = ("answered", "refused", "never came", "comes late", "answer lost", "runs on")
+FATES = (
+    "answered",
+    "refused",
+    "not delivered",
+    "delivered late",
+    "answer lost",
+    "keeps running",
+)
 
 
 @attrs.define
 class FakeSidecar:
-    """A sidecar reduced to its memory of attempts."""
+    """A sidecar that has only a log of attempts and counts the runs of each key."""
 
     name: str
     runs: collections.Counter
@@ -30,7 +41,7 @@
     log: AttemptLog = attrs.field(factory=AttemptLog)
 
     def start(self, attempt, incarnation, key):
-        """Start an attempt where that is allowed; return whether it ran."""
+        """Start an attempt if that is allowed; return whether it ran."""
         if incarnation != self.incarnation or not self.log.may_start(attempt):
             return False
         self.log.start(attempt)
@@ -43,7 +54,7 @@
 
 
 class FakeDispatcher:
-    """Brings attempts to fake sidecars, with a fate for each."""
+    """Dispatcher that sends attempts to fake sidecars, with a given fate for each."""
 
     def __init__(self, clock, sidecars):
         self.clock = clock
@@ -79,15 +90,15 @@
         fate = self.fates.popleft() if self.fates else "answered"
         key = job.target
         if fate == "refused":
-            return Refusal("told to", 0.1)
-        if fate == "never came":
+            return Refusal("refused by the test", 0.1)
+        if fate == "not delivered":
             return Lost("cut", attempt)
-        if fate == "comes late":
+        if fate == "delivered late":
             self.late.append((sidecar, attempt, known.member.incarnation, key))
             return Lost("cut", attempt)
         if not sidecar.start(attempt, known.member.incarnation, key):
             return Refusal("barred", 0.1)
-        if fate == "runs on":
+        if fate == "keeps running":
             return Lost("cut", attempt)
         sidecar.log.finish(attempt, Head(200, []), key.encode())
         if fate == "answer lost":
@@ -106,8 +117,8 @@
         return BarReply(record.state, record.head, record.body)
 
 
-class KeyMachine(RuleBasedStateMachine):
-    """Callers send and repeat keys while everything fails."""
+class IdempotencyMachine(RuleBasedStateMachine):
+    """Callers send and repeat requests with keys while all components may fail."""
 
     def __init__(self):
         super().__init__()
@@ -118,7 +129,7 @@
         self.sidecars = [FakeSidecar(name, self.runs) for name in ("a", "b")]
         self.dispatcher = FakeDispatcher(self.clock, self.sidecars)
         platform = builders.platform(self.tables)
-        self.owners = [
+        self.runners = [
             IdempotentRunner(platform, self.dispatcher, self.clock) for _ in range(2)
         ]
 
@@ -132,13 +143,13 @@
         deadline = self.clock.monotonic() + 1
         return Job("w", "p", "POST", key, deadline, repeatable=False)
 
-    def judge(self, key, result):
-        """Check an outcome against what truly ran."""
+    def check_outcome(self, key, result):
+        """Check an outcome against the number of runs of the key."""
         if isinstance(result, (Whole, ReplayedAnswer)):
             whole = result.whole if isinstance(result, ReplayedAnswer) else result
             assert whole.body == key.encode() and self.runs[key] == 1
         elif isinstance(result, NotRun):
-            assert self.runs[key] == 0, "said not run, but it ran"
+            assert self.runs[key] == 0, "the outcome is not run, but the request ran"
         else:
             assert isinstance(result, Unknown)
 
@@ -150,9 +161,9 @@
     def call(self, key, fates, entry):
         self.dispatcher.fates = collections.deque(fates)
         result = self.loop.run_until_complete(
-            self.owners[entry].run_once(key, self.job(key))
+            self.runners[entry].run_once(key, self.job(key))
         )
-        self.judge(key, result)
+        self.check_outcome(key, result)
 
     @rule(key=st.sampled_from(["k1", "k2"]), fates=st.lists(st.sampled_from(FATES)))
     def call_at_both_entries(self, key, fates):
@@ -160,7 +171,7 @@
 
         async def both():
             return await asyncio.gather(
-                *(owner.run_once(key, self.job(key)) for owner in self.owners)
+                *(runner.run_once(key, self.job(key)) for runner in self.runners)
             )
 
         for result in self.loop.run_until_complete(both()):
@@ -175,7 +186,7 @@
         self.dispatcher.late.clear()
 
     @rule()
-    def finish_what_runs(self):
+    def finish_running_attempts(self):
         for sidecar in self.sidecars:
             for attempt, record in sidecar.log.records.items():
                 if record.state == AttemptState.RUNNING:
@@ -186,15 +197,15 @@
         self.sidecars[number].restart()
 
     @rule(down=st.booleans())
-    def platform_down(self, down):
+    def set_platform_down(self, down):
         self.tables.down = down
 
     @rule(lose=st.integers(0, 2), drop=st.integers(0, 2))
-    def platform_loses(self, lose, drop):
+    def lose_or_drop_commits(self, lose, drop):
         self.tables.lose_next, self.tables.drop_next = lose, drop
 
     @rule(cut=st.booleans())
-    def cut_off(self, cut):
+    def cut_off_sidecars(self, cut):
         self.dispatcher.cut = cut
 
     @invariant()
@@ -202,53 +213,53 @@
         assert all(count <= 1 for count in self.runs.values()), self.runs
 
 
-TestKeys = KeyMachine.TestCase
+TestIdempotency = IdempotencyMachine.TestCase
 
 
-def run_calls(work):
-    machine = KeyMachine()
+def run_with_machine(work):
+    machine = IdempotencyMachine()
     try:
         machine.loop.run_until_complete(work(machine))
     finally:
         machine.teardown()
 
 
-def test_the_same_key_with_another_request_is_a_mismatch():
+def test_reusing_a_key_for_another_request_is_a_mismatch():
     async def work(machine):
-        owner = machine.owners[0]
-        assert isinstance(await owner.run_once("k", machine.job("k1")), Whole)
-        assert isinstance(await owner.run_once("k", machine.job("k2")), KeyMismatch)
+        runner = machine.runners[0]
+        assert isinstance(await runner.run_once("k", machine.job("k1")), Whole)
+        assert isinstance(await runner.run_once("k", machine.job("k2")), KeyMismatch)
         assert machine.runs == {"k1": 1}
 
-    run_calls(work)
+    run_with_machine(work)
 
 
-def test_a_kept_answer_outlives_its_sidecar():
+def test_stored_answer_is_replayed_after_its_sidecar_has_restarted():
     async def work(machine):
-        await machine.owners[0].run_once("k1", machine.job("k1"))
+        await machine.runners[0].run_once("k1", machine.job("k1"))
         await asyncio.sleep(0)
         for sidecar in machine.sidecars:
             sidecar.restart()
-        result = await machine.owners[1].run_once("k1", machine.job("k1"))
+        result = await machine.runners[1].run_once("k1", machine.job("k1"))
         assert isinstance(result, ReplayedAnswer) and result.whole.body == b"k1"
 
-    run_calls(work)
+    run_with_machine(work)
 
 
-def test_with_the_platform_down_only_a_fresh_key_is_surely_not_run():
+def test_during_a_platform_outage_only_a_fresh_key_is_not_run():
     async def work(machine):
         machine.tables.down = True
-        result = await machine.owners[0].run_once("k1", machine.job("k1"))
+        result = await machine.runners[0].run_once("k1", machine.job("k1"))
         assert isinstance(result, Unknown)
         job = machine.job("k1")
         job.fresh_key = True
-        assert isinstance(await machine.owners[0].run_once("k1", job), NotRun)
+        assert isinstance(await machine.runners[0].run_once("k1", job), NotRun)
         assert not machine.runs
 
-    run_calls(work)
+    run_with_machine(work)
 
 
-def test_a_forgotten_attempt_is_unknown_and_a_late_one_is_refused(monkeypatch):
+def test_evicted_attempt_is_unknown_and_late_attempt_is_refused(monkeypatch):
     monkeypatch.setattr("gypsumshift.attempts.RECORD_LIMIT", 2)
     log = AttemptLog()
     for name in ("0-a", "0-b", "0-c"):
