--- a/gypsumshift/idempotency.py
+++ b/gypsumshift/idempotency.py
@@ -132,18 +132,18 @@
             if known is None or job.deadline <= self.clock.monotonic():
                 break
             claim = self.new_claim(known, digest)
-            stored = await self.claim_key(stored_key, claim, row)
-            if stored is None:
+            stored_row = await self.claim_key(stored_key, claim, row)
+            if stored_row is None:
                 return self.undecided_outcome(job)
-            if stored.value["digest"] != digest:
+            if stored_row.value["digest"] != digest:
                 return KeyMismatch()
-            if stored.value["attempt"] == claim.attempt:
+            if stored_row.value["attempt"] == claim.attempt:
                 result = await self.run_claimed_attempt(stored_key, claim, known, job)
             else:
-                result = await self.inspect_claim(stored, job)
+                result = await self.inspect_claim(stored_row, job)
             if not isinstance(result, Refusal):
                 return result
-            row, refusal = stored, result
+            row, refusal = stored_row, result
         return await self.final_outcome(stored_key, job, refusal)
 
     def undecided_outcome(self, job: Job) -> NotRun | Unknown:
--- a/gypsumshift/sampling.py
+++ b/gypsumshift/sampling.py
@@ -32,7 +32,8 @@
 MAX_REJECTIONS = 3
 # A sample held back for longer than this crashed engines in its trial runs as well.
 MAX_HOLD_BACK = datetime.timedelta(minutes=5)
-# A stream that is too slow is not interrupted after this many interruptions.
+# Once a sample has been resumed this often, a slow stream of it is not interrupted; a
+# stalled one still is.
 MAX_MIGRATIONS = 2
 STALL_TIMEOUT_S = 2.0
 # A stream is too slow if its time per token exceeds the median of the last
--- a/gypsumshift/trainerdriver.py
+++ b/gypsumshift/trainerdriver.py
@@ -13,7 +13,7 @@
 from gypsumshift.sampling import Sampler
 from gypsumshift.trainerstore import TrainerStore, is_fresh
 
-__all__ = ["TrainerDriver", "DriverManager", "groups_due", "steps_ahead"]
+__all__ = ["DriverManager", "TrainerDriver", "groups_due", "steps_ahead"]
 
 LEASE_DURATION_S = 4.0
 LEASE_RENEWAL_PERIOD_S = 1.0
@@ -135,15 +135,15 @@
         await self.discard_stale_groups(pairs, state, trainer.staleness_bound)
         ready = [group for _, group in pairs if group.is_ready]
         self.set_ready_count(len(ready))
-        free = groups_due(trainer, state) - len(ready) - len(self.running)
+        to_start = groups_due(trainer, state) - len(ready) - len(self.running)
         missing = trainer.groups_per_step - len(ready)
         for row, group in pairs:
-            if free <= 0:
+            if to_start <= 0:
                 break
             if group.is_pending and group.number not in self.running:
                 position = len(self.running) + 1
                 self.start_group(row, group, group_urgency(trainer, position, missing))
-                free -= 1
+                to_start -= 1
 
     def set_ready_count(self, ready: int) -> None:
         """Set how many groups are ready, and signal whether they suffice for a step."""
