--- a/gypsumshift/idempotency.py
+++ b/gypsumshift/idempotency.py
@@ -13,12 +13,12 @@
 
 from gypsumshift import logs
 from gypsumshift.addresses import parse_address
-from gypsumshift.answers import Lost, Refusal, Whole
-from gypsumshift.attempts import new_attempt
+from gypsumshift.attemptresults import CompleteAnswer, LostAttempt, Refusal
+from gypsumshift.attempts import new_attempt_name
 from gypsumshift.clock import Clock
-from gypsumshift.dispatch import Dispatcher, Job, mark, not_run
+from gypsumshift.dispatch import Dispatcher, PoolRequest, last_mark, not_run_outcome
 from gypsumshift.generated.messages import AttemptState, Head, Header
-from gypsumshift.members import Known
+from gypsumshift.membership import Peer
 from gypsumshift.outcomes import (
     Committed,
     Conflict,
@@ -55,10 +55,10 @@
 
     Attributes
     ----------
-    whole : Whole
+    whole : CompleteAnswer
     """
 
-    whole: Whole
+    whole: CompleteAnswer
 
 
 @attrs.frozen
@@ -87,9 +87,9 @@
     time: str
 
 
-def request_digest(job: Job) -> str:
+def request_digest(request: PoolRequest) -> str:
     """Return a digest of a request's method, target and body."""
-    parts = (job.method.encode(), job.target.encode(), job.body)
+    parts = (request.method.encode(), request.target.encode(), request.body)
     return hashlib.sha256(b"\0".join(parts)).hexdigest()
 
 
@@ -114,67 +114,73 @@
         self.dispatcher = dispatcher
         self.clock = clock
 
-    async def run_once(self, key: str, job: Job):
+    async def run_once(self, key: str, request: PoolRequest):
         """Run a request, or return the outcome of an earlier request with the key.
 
         Returns
         -------
-        Whole, ReplayedAnswer, KeyMismatch, NotRun or Unknown
+        CompleteAnswer, ReplayedAnswer, KeyMismatch, NotRun or Unknown
         """
-        stored_key = row_key(job.workspace, key)
-        digest = request_digest(job)
+        stored_key = row_key(request.workspace, key)
+        digest = request_digest(request)
         row: Row | None = None
-        refusal = Refusal(f"no backend server of {job.pool} is known here", 1.0)
+        refusal = Refusal(f"no backend server of {request.pool} is known here", 1.0)
         for _ in range(MAX_ATTEMPTS):
-            known = self.dispatcher.router(job.pool).choose(
-                job.avoid, kind=job.request_class
+            sidecar = self.dispatcher.router(request.pool).choose_sidecar(
+                request.avoid, request_class=request.request_class
             )
-            if known is None or job.deadline <= self.clock.monotonic():
+            if sidecar is None or request.deadline <= self.clock.monotonic():
                 break
-            claim = self.new_claim(known, digest)
+            claim = self.new_claim(sidecar, digest)
             stored_row = await self.claim_key(stored_key, claim, row)
             if stored_row is None:
-                return self.undecided_outcome(job)
+                return self.undecided_outcome(request)
             if stored_row.value["digest"] != digest:
                 return KeyMismatch()
             if stored_row.value["attempt"] == claim.attempt:
-                result = await self.run_claimed_attempt(stored_key, claim, known, job)
+                result = await self.run_claimed_attempt(
+                    stored_key, claim, sidecar, request
+                )
             else:
-                result = await self.inspect_claim(stored_row, job)
+                result = await self.inspect_claim(stored_row, request)
             if not isinstance(result, Refusal):
                 return result
             row, refusal = stored_row, result
-        return await self.final_outcome(stored_key, job, refusal)
+        return await self.final_outcome(stored_key, request, refusal)
 
-    def undecided_outcome(self, job: Job) -> NotRun | Unknown:
+    def undecided_outcome(self, request: PoolRequest) -> NotRun | Unknown:
         """Return the outcome if the platform does not answer who has claimed the key.
 
         Nothing was sent by this call, but an earlier request with the key may have
         run. It is "not run" only if the caller states that the key is new.
         """
-        if job.fresh_key:
-            return not_run(Refusal("the platform cannot be asked for the key", 1.0))
+        if request.fresh_key:
+            return not_run_outcome(
+                Refusal("the platform cannot be asked for the key", 1.0)
+            )
         return Unknown("the platform cannot be asked whether this key has run")
 
-    async def final_outcome(self, stored_key: str, job: Job, refusal: Refusal):
+    async def final_outcome(
+        self, stored_key: str, request: PoolRequest, refusal: Refusal
+    ):
         """Return the outcome after the last attempt, by the state of the key's row."""
         row = await self.tables.read(KEYS_TABLE, stored_key)
         if isinstance(row, Unavailable):
-            return self.undecided_outcome(job)
+            return self.undecided_outcome(request)
         if isinstance(row, Missing):
-            return not_run(refusal)
-        result = await self.inspect_claim(row, job)
-        return not_run(refusal) if isinstance(result, Refusal) else result
+            return not_run_outcome(refusal)
+        result = await self.inspect_claim(row, request)
+        return not_run_outcome(refusal) if isinstance(result, Refusal) else result
 
-    def new_claim(self, known: Known, digest: str) -> KeyClaim:
+    def new_claim(self, sidecar: Peer, digest: str) -> KeyClaim:
         """Return a claim of a new attempt at a sidecar."""
-        host, port = known.address
+        host, port = sidecar.address
         return KeyClaim(
             digest=digest,
-            attempt=new_attempt(mark(known)),
-            backend=known.member.backend,
+            attempt=new_attempt_name(last_mark(sidecar)),
+            backend=sidecar.member.backend,
             address=f"{host}:{port}",
-            incarnation=known.member.incarnation,
+            incarnation=sidecar.member.incarnation,
             time=self.clock.now().isoformat(timespec="seconds"),
         )
 
@@ -216,18 +222,20 @@
         return None
 
     async def run_claimed_attempt(
-        self, stored_key: str, claim: KeyClaim, known: Known, job: Job
+        self, stored_key: str, claim: KeyClaim, sidecar: Peer, request: PoolRequest
     ):
         """Run a claimed attempt and store its answer in the background."""
-        job.avoid.add(known.member.name)
-        result = await self.dispatcher.attempt(job, known, claim.attempt)
-        if isinstance(result, Lost):
-            result = await self.dispatcher.settle(job, known, result)
-        if isinstance(result, Whole):
+        request.avoid.add(sidecar.member.name)
+        result = await self.dispatcher.run_attempt(request, sidecar, claim.attempt)
+        if isinstance(result, LostAttempt):
+            result = await self.dispatcher.resolve_lost_attempt(
+                request, sidecar, result
+            )
+        if isinstance(result, CompleteAnswer):
             self.dispatcher.process.spawn(self.store_answer(stored_key, claim, result))
         return result
 
-    async def inspect_claim(self, row: Row, job: Job):
+    async def inspect_claim(self, row: Row, request: PoolRequest):
         """Determine the outcome of the attempt that claimed a key.
 
         If it has not started, it is barred at its sidecar, so that it never starts.
@@ -238,16 +246,18 @@
         """
         if row.value["state"] == DONE:
             return await self.replay_answer(row)
-        reply = await self.dispatcher.follow(
+        reply = await self.dispatcher.await_final_state(
             parse_address(row.value["address"]),
             row.value["incarnation"],
             row.value["attempt"],
-            job.deadline,
+            request.deadline,
         )
         if reply.state == AttemptState.NEVER:
             return Refusal("the previous attempt with this key was barred", 0.2)
         if reply.state == AttemptState.DONE:
-            return ReplayedAnswer(Whole(reply.head, reply.body, row.value["backend"]))
+            return ReplayedAnswer(
+                CompleteAnswer(reply.head, reply.body, row.value["backend"])
+            )
         if reply.state == AttemptState.RUNNING:
             return Unknown("the request with this key is still running")
         return await self.reread_claim(row)
@@ -263,16 +273,16 @@
         )
 
     async def store_answer(
-        self, stored_key: str, claim: KeyClaim, whole: Whole
+        self, stored_key: str, claim: KeyClaim, answer: CompleteAnswer
     ) -> None:
         """Store the answer of a key; retry while the platform does not answer."""
-        value = attrs.asdict(claim) | {"state": DONE, "status": whole.head.status}
+        value = attrs.asdict(claim) | {"state": DONE, "status": answer.head.status}
         value["headers"] = [
             [header.name.decode("latin-1"), header.value.decode("latin-1")]
-            for header in whole.head.headers
+            for header in answer.head.headers
         ]
         for _ in range(MAX_STORE_TRIES):
-            if await self.try_store_answer(stored_key, claim, whole, value):
+            if await self.try_store_answer(stored_key, claim, answer, value):
                 return
             await self.clock.sleep(STORE_RETRY_S)
         log.warning(
@@ -283,17 +293,17 @@
         )
 
     async def try_store_answer(
-        self, stored_key: str, claim: KeyClaim, whole: Whole, value
+        self, stored_key: str, claim: KeyClaim, answer: CompleteAnswer, value
     ) -> bool:
         """Try once to store an answer; return whether no further try is needed.
 
         No try is needed if the row no longer belongs to the attempt.
         """
-        if len(whole.body) <= MAX_INLINE_BODY_BYTES:
-            value["body"] = base64.b64encode(whole.body).decode()
+        if len(answer.body) <= MAX_INLINE_BODY_BYTES:
+            value["body"] = base64.b64encode(answer.body).decode()
         else:
             name = f"answers/{claim.attempt}"
-            put = await self.objects.put(name, whole.body)
+            put = await self.objects.put(name, answer.body)
             if not isinstance(put, (Committed, Conflict)):
                 return False
             value["object"] = name
@@ -323,5 +333,5 @@
             for name, text in value["headers"]
         ]
         return ReplayedAnswer(
-            Whole(Head(value["status"], headers), body, value["backend"])
+            CompleteAnswer(Head(value["status"], headers), body, value["backend"])
         )
--- a/gypsumshift/weightrollout.py
+++ b/gypsumshift/weightrollout.py
@@ -10,7 +10,7 @@
 from gypsumshift.attemptrunner import AttemptRunner
 from gypsumshift.backend import Backend, Fence
 from gypsumshift.generated.messages import RequestClass
-from gypsumshift.members import rank
+from gypsumshift.membership import rendezvous_weight
 from gypsumshift.process import Process
 
 __all__ = ["WeightRollout", "plan_waves"]
@@ -34,7 +34,7 @@
     floor : float
         Share of the pool that continues serving during each wave.
     """
-    order = sorted(backends, key=lambda name: rank(str(version), name))
+    order = sorted(backends, key=lambda name: rendezvous_weight(str(version), name))
     size = max(1, int(len(order) * (1 - floor) + 1e-9))
     return [order[start : start + size] for start in range(0, len(order), size)]
 
@@ -69,7 +69,7 @@
     @property
     def target(self) -> int:
         """Newest published version known to this sidecar; 0 if there is none."""
-        return self.process.targets.get(self.process.own.pool, 0)
+        return self.process.target_versions.get(self.process.member.pool, 0)
 
     async def run(self) -> None:
         """Load each newer version when this backend server's wave may start.
@@ -79,17 +79,19 @@
         tries = 0
         while True:
             loaded = self.backend.state.version
-            if not self.process.own.fence or loaded is None or loaded >= self.target:
+            if not self.process.member.fence or loaded is None or loaded >= self.target:
                 tries = 0
                 await self.wait_for_new_version()
                 continue
             if tries == 0:
                 await self.wait_for_wave(self.target)
-            if await self.fence.deposed():
-                self.process.leave("a newer sidecar controls this backend server")
+            if await self.fence.is_superseded():
+                self.process.start_leaving(
+                    "a newer sidecar controls this backend server"
+                )
                 return
             await self.wait_for_client_requests()
-            if await self.backend.load_weights(self.target, self.process.own.fence):
+            if await self.backend.load_weights(self.target, self.process.member.fence):
                 tries = 0
                 self.process.heartbeats.wake.set()
                 continue
@@ -119,20 +121,20 @@
         self.backend.swapping = True
         self.process.heartbeats.wake.set()
         deadline = self.clock.monotonic() + MAX_CLIENT_WAIT_S
-        running = self.attempt_runner.admission.running_of
+        running = self.attempt_runner.admission.running_by_class
         while running[RequestClass.CLIENT] and self.clock.monotonic() < deadline:
             await self.clock.sleep(CLIENT_CHECK_PERIOD_S)
 
     async def wait_for_wave(self, version: int) -> None:
         """Wait until earlier waves have loaded the version or their time has passed."""
-        own = self.process.own
-        sidecars = self.process.view.sidecars(own.pool)
-        backends = {known.member.backend for known in sidecars} | {own.backend}
+        member = self.process.member
+        sidecars = self.process.membership.sidecars(member.pool)
+        backends = {sidecar.member.backend for sidecar in sidecars} | {member.backend}
         pool = self.backend.pool
         order = plan_waves(backends, version, pool.serving_floor)
-        self.wave = next(n for n, wave in enumerate(order) if own.backend in wave)
+        self.wave = next(n for n, wave in enumerate(order) if member.backend in wave)
         detail = f"version {version} wave {self.wave} of {len(order)}"
-        self.process.recorder.note("wave", own.backend, detail)
+        self.process.recorder.note("wave", member.backend, detail)
         earlier = {name for wave in order[: self.wave] for name in wave}
         deadline = self.clock.monotonic() + self.wave * pool.swap_allowance
         while self.clock.monotonic() < deadline and not self.all_loaded(
@@ -143,7 +145,7 @@
     def all_loaded(self, earlier: set[str], version: int) -> bool:
         """Return whether all the given backend servers report at least a version."""
         loaded = {
-            known.member.backend: known.member.version
-            for known in self.process.view.sidecars(self.process.own.pool)
+            sidecar.member.backend: sidecar.member.version
+            for sidecar in self.process.membership.sidecars(self.process.member.pool)
         }
         return all(loaded.get(name, 0) >= version for name in earlier)
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -11,12 +11,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from gypsumshift.answers import Lost, Refusal, Whole
+from gypsumshift.attemptresults import CompleteAnswer, LostAttempt, Refusal
 from gypsumshift.attempts import AttemptLog
-from gypsumshift.dispatch import Dispatcher, Job
+from gypsumshift.dispatch import Dispatcher, PoolRequest
 from gypsumshift.generated.messages import AttemptState, BarReply, Head
 from gypsumshift.idempotency import IdempotentRunner, KeyMismatch, ReplayedAnswer
-from gypsumshift.members import Known
+from gypsumshift.membership import Peer
 from gypsumshift.outcomes import NotRun, Unknown
 
 from . import builders
@@ -44,7 +44,7 @@
         """Start an attempt if that is allowed; return whether it ran."""
         if incarnation != self.incarnation or not self.log.may_start(attempt):
             return False
-        self.log.start(attempt)
+        self.log.record_start(attempt)
         self.runs[key] += 1
         return True
 
@@ -70,7 +70,7 @@
     def router(self, pool):
         return self
 
-    def choose(self, avoid, kind):
+    def choose_sidecar(self, avoid, request_class):
         for sidecar in self.sidecars:
             if sidecar.name not in avoid:
                 member = builders.member(
@@ -78,13 +78,13 @@
                 )
                 member.host = sidecar.name
                 load = builders.load(mark=sidecar.log.arrivals)
-                return Known(member, 0.0, load)
+                return Peer(member, 0.0, load)
         return None
 
     def find(self, name):
         return next(s for s in self.sidecars if s.name == name)
 
-    async def attempt(self, job, known, attempt):
+    async def run_attempt(self, job, known, attempt):
         await asyncio.sleep(0)
         sidecar = self.find(known.member.name)
         fate = self.fates.popleft() if self.fates else "answered"
@@ -92,23 +92,23 @@
         if fate == "refused":
             return Refusal("refused by the test", 0.1)
         if fate == "not delivered":
-            return Lost("cut", attempt)
+            return LostAttempt("cut", attempt)
         if fate == "delivered late":
             self.late.append((sidecar, attempt, known.member.incarnation, key))
-            return Lost("cut", attempt)
+            return LostAttempt("cut", attempt)
         if not sidecar.start(attempt, known.member.incarnation, key):
             return Refusal("barred", 0.1)
         if fate == "keeps running":
-            return Lost("cut", attempt)
-        sidecar.log.finish(attempt, Head(200, []), key.encode())
+            return LostAttempt("cut", attempt)
+        sidecar.log.record_end(attempt, Head(200, []), key.encode())
         if fate == "answer lost":
-            return Lost("cut", attempt)
-        return Whole(Head(200, []), key.encode(), sidecar.name)
+            return LostAttempt("cut", attempt)
+        return CompleteAnswer(Head(200, []), key.encode(), sidecar.name)
 
-    settle = Dispatcher.settle
-    follow = Dispatcher.follow
+    resolve_lost_attempt = Dispatcher.resolve_lost_attempt
+    await_final_state = Dispatcher.await_final_state
 
-    async def ask_bar(self, address, incarnation, attempt):
+    async def request_bar(self, address, incarnation, attempt):
         await asyncio.sleep(0)
         sidecar = self.find(address[0])
         if self.cut or sidecar.incarnation != incarnation:
@@ -139,13 +139,13 @@
         self.loop.run_until_complete(asyncio.sleep(0))
         self.loop.close()
 
-    def job(self, key):
+    def make_request(self, key):
         deadline = self.clock.monotonic() + 1
-        return Job("w", "p", "POST", key, deadline, repeatable=False)
+        return PoolRequest("w", "p", "POST", key, deadline, repeatable=False)
 
     def check_outcome(self, key, result):
         """Check an outcome against the number of runs of the key."""
-        if isinstance(result, (Whole, ReplayedAnswer)):
+        if isinstance(result, (CompleteAnswer, ReplayedAnswer)):
             whole = result.whole if isinstance(result, ReplayedAnswer) else result
             assert whole.body == key.encode() and self.runs[key] == 1
         elif isinstance(result, NotRun):
@@ -161,7 +161,7 @@
     def call(self, key, fates, entry):
         self.dispatcher.fates = collections.deque(fates)
         result = self.loop.run_until_complete(
-            self.runners[entry].run_once(key, self.job(key))
+            self.runners[entry].run_once(key, self.make_request(key))
         )
         self.check_outcome(key, result)
 
@@ -171,11 +171,14 @@
 
         async def both():
             return await asyncio.gather(
-                *(runner.run_once(key, self.job(key)) for runner in self.runners)
+                *(
+                    runner.run_once(key, self.make_request(key))
+                    for runner in self.runners
+                )
             )
 
         for result in self.loop.run_until_complete(both()):
-            if isinstance(result, (Whole, ReplayedAnswer)):
+            if isinstance(result, (CompleteAnswer, ReplayedAnswer)):
                 whole = result.whole if isinstance(result, ReplayedAnswer) else result
                 assert whole.body == key.encode()
 
@@ -190,7 +193,7 @@
         for sidecar in self.sidecars:
             for attempt, record in sidecar.log.records.items():
                 if record.state == AttemptState.RUNNING:
-                    sidecar.log.finish(attempt, None, b"")
+                    sidecar.log.record_end(attempt, None, b"")
 
     @rule(number=st.integers(0, 1))
     def restart_sidecar(self, number):
@@ -227,8 +230,12 @@
 def test_reusing_a_key_for_another_request_is_a_mismatch():
     async def work(machine):
         runner = machine.runners[0]
-        assert isinstance(await runner.run_once("k", machine.job("k1")), Whole)
-        assert isinstance(await runner.run_once("k", machine.job("k2")), KeyMismatch)
+        assert isinstance(
+            await runner.run_once("k", machine.make_request("k1")), CompleteAnswer
+        )
+        assert isinstance(
+            await runner.run_once("k", machine.make_request("k2")), KeyMismatch
+        )
         assert machine.runs == {"k1": 1}
 
     run_with_machine(work)
@@ -236,11 +243,11 @@
 
 def test_stored_answer_is_replayed_after_its_sidecar_has_restarted():
     async def work(machine):
-        await machine.runners[0].run_once("k1", machine.job("k1"))
+        await machine.runners[0].run_once("k1", machine.make_request("k1"))
         await asyncio.sleep(0)
         for sidecar in machine.sidecars:
             sidecar.restart()
-        result = await machine.runners[1].run_once("k1", machine.job("k1"))
+        result = await machine.runners[1].run_once("k1", machine.make_request("k1"))
         assert isinstance(result, ReplayedAnswer) and result.whole.body == b"k1"
 
     run_with_machine(work)
@@ -249,21 +256,21 @@
 def test_during_a_platform_outage_only_a_fresh_key_is_not_run():
     async def work(machine):
         machine.tables.down = True
-        result = await machine.runners[0].run_once("k1", machine.job("k1"))
+        result = await machine.runners[0].run_once("k1", machine.make_request("k1"))
         assert isinstance(result, Unknown)
-        job = machine.job("k1")
-        job.fresh_key = True
-        assert isinstance(await machine.runners[0].run_once("k1", job), NotRun)
+        request = machine.make_request("k1")
+        request.fresh_key = True
+        assert isinstance(await machine.runners[0].run_once("k1", request), NotRun)
         assert not machine.runs
 
     run_with_machine(work)
 
 
 def test_evicted_attempt_is_unknown_and_late_attempt_is_refused(monkeypatch):
-    monkeypatch.setattr("gypsumshift.attempts.RECORD_LIMIT", 2)
+    monkeypatch.setattr("gypsumshift.attempts.MAX_RECORDS", 2)
     log = AttemptLog()
     for name in ("0-a", "0-b", "0-c"):
-        log.start(name)
+        log.record_start(name)
     assert log.bar("0-a").state == AttemptState.UNKNOWN
     assert not log.may_start("0-late")
     assert log.may_start("1-fresh")
