--- a/gypsumshift/remote.py
+++ b/gypsumshift/remote.py
@@ -13,11 +13,17 @@
     Missing,
     Unavailable,
     Unknown,
-    Written,
+    WriteOutcome,
 )
 from gypsumshift.platforms import Host, Row
 
-__all__ = ["RemoteHosts", "RemoteObjects", "RemoteTables", "RemoteWeights", "connect"]
+__all__ = [
+    "RemoteHostList",
+    "RemoteObjectStore",
+    "RemoteTables",
+    "RemoteWeightStore",
+    "connect",
+]
 
 READ_TIMEOUT_S = 2.0
 WRITE_TIMEOUT_S = 3.0
@@ -61,7 +67,7 @@
         data = await self.read(target)
         return json.loads(data) if isinstance(data, bytes) else data
 
-    async def write(self, method: str, target: str, body: bytes = b"") -> Written:
+    async def write(self, method: str, target: str, body: bytes = b"") -> WriteOutcome:
         """Send a write request; `Unknown` if it was sent but not answered."""
         try:
             answer = await self.fetcher.fetch(
@@ -72,7 +78,7 @@
         return write_outcome(answer)
 
 
-def write_outcome(answer: FetchedResponse) -> Written:
+def write_outcome(answer: FetchedResponse) -> WriteOutcome:
     """Return the outcome of a write request by the status of its response."""
     if answer.status in (200, 201, 204):
         return Committed()
@@ -109,7 +115,7 @@
         return await self.client.write("POST", "/tables", body)
 
 
-class RemoteObjects(platforms.Objects):
+class RemoteObjectStore(platforms.ObjectStore):
     """Object store over HTTP."""
 
     def __init__(self, client: PlatformClient):
@@ -128,7 +134,7 @@
         return await self.client.write("DELETE", f"/objects/{quote_segment(name)}")
 
 
-class RemoteWeights(platforms.Weights):
+class RemoteWeightStore(platforms.WeightStore):
     """Weight store over HTTP."""
 
     def __init__(self, client: PlatformClient):
@@ -141,7 +147,7 @@
         )
 
 
-class RemoteHosts(platforms.Hosts):
+class RemoteHostList(platforms.HostList):
     """Host list over HTTP."""
 
     def __init__(self, client: PlatformClient):
@@ -166,9 +172,9 @@
     caller = PlatformClient((parts.hostname, parts.port or 80))
     return platforms.Platform(
         RemoteTables(caller),
-        RemoteObjects(caller),
-        RemoteWeights(caller),
-        RemoteHosts(caller),
+        RemoteObjectStore(caller),
+        RemoteWeightStore(caller),
+        RemoteHostList(caller),
     )
 
 
--- a/gypsumshift/trainerstore.py
+++ b/gypsumshift/trainerstore.py
@@ -24,7 +24,7 @@
     Missing,
     Unavailable,
     Unknown,
-    Written,
+    WriteOutcome,
 )
 from gypsumshift.platforms import ABSENT, Platform, Row, Write
 
@@ -175,7 +175,7 @@
 
     async def finish_group(
         self, row: Row, group: Group, samples: list[Sample], name: str = ""
-    ) -> Written:
+    ) -> WriteOutcome:
         """Store a group's samples as an object and mark the group ready.
 
         The group's row must be unchanged since it was read. After an unknown outcome
@@ -196,14 +196,14 @@
             [Write(row.table, row.key, attrs.asdict(ready), row.version)]
         )
 
-    async def fail_group(self, row: Row, group: Group, reason: str) -> Written:
+    async def fail_group(self, row: Row, group: Group, reason: str) -> WriteOutcome:
         """Mark a group as failed, so that it is not generated again."""
         failed = attrs.evolve(group, failed=reason)
         return await self.tables.commit(
             [Write(row.table, row.key, attrs.asdict(failed), row.version)]
         )
 
-    async def discard_samples(self, row: Row, group: Group) -> Written:
+    async def discard_samples(self, row: Row, group: Group) -> WriteOutcome:
         """Make a ready group pending again, then delete its samples."""
         pending = attrs.evolve(group, object="", oldest=0, newest=0)
         outcome = await self.tables.commit(
--- a/gypsumshift/weightpublisher.py
+++ b/gypsumshift/weightpublisher.py
@@ -1,6 +1,6 @@
 """Publishing of new weight versions of pools."""
 
-from gypsumshift.outcomes import Committed, Missing, Unavailable, Unknown, Written
+from gypsumshift.outcomes import Committed, Missing, Unavailable, Unknown, WriteOutcome
 from gypsumshift.platforms import ABSENT, Write
 from gypsumshift.poller import WEIGHTS_PREFIX
 from gypsumshift.process import Process
@@ -23,7 +23,9 @@
         self.process = process
         self.tables = process.platform.tables
 
-    async def publish(self, pool: str, version: int, data: bytes, by: str) -> Written:
+    async def publish(
+        self, pool: str, version: int, data: bytes, by: str
+    ) -> WriteOutcome:
         """Store the weights, then set the pool's newest version; idempotent.
 
         Parameters
@@ -49,7 +51,9 @@
             f" newest of pool {pool}, in {MAX_TRIES} tries"
         )
 
-    async def set_newest_version(self, pool: str, version: int, by: str) -> Written:
+    async def set_newest_version(
+        self, pool: str, version: int, by: str
+    ) -> WriteOutcome:
         """Set a version as the newest of a pool, unless that one is as new or newer."""
         key = WEIGHTS_PREFIX + pool
         row = await self.tables.read(HEADS_TABLE, key)
