--- a/gypsumshift/sampling.py
+++ b/gypsumshift/sampling.py
@@ -214,7 +214,7 @@
             share=self.trainer.share,
             affinity=group.prompt,
             avoid=avoid,
-            # Not the body, which differs for each resumption of the same sample.
+            # Not the body, which grows with the tokens received so far.
             identity=group.prompt,
         )
 
