--- a/gypsumshift/attemptrunner.py
+++ b/gypsumshift/attemptrunner.py
@@ -168,7 +168,7 @@
 
     def make_refusal(self, run: AttemptRun, reason: str, retry_after: float) -> Body:
         """Return the message that an attempt has not run; record the event."""
-        self.recorder.note("not-run", run.start.attempt, reason)
+        self.recorder.record("not-run", run.start.attempt, reason)
         retry_ms = int(retry_after * 1000)
         refused = messages.Refused(
             reason, retry_ms, self.current_load(), reason == BUSY_REASON
--- a/gypsumshift/revisions.py
+++ b/gypsumshift/revisions.py
@@ -212,7 +212,7 @@
         if catalog is None:
             return False
         self.number, self.text, self.catalog = number, text, catalog
-        self.recorder.note("revision", f"revision-{number}", "in force")
+        self.recorder.record("revision", f"revision-{number}", "in force")
         log.info("Revision {} is active.", number)
         self.changed.set()
         self.changed = asyncio.Event()
--- a/gypsumshift/trainerapi.py
+++ b/gypsumshift/trainerapi.py
@@ -128,7 +128,7 @@
             value = json.loads(request.body)
         except ValueError as error:
             return problem_response(400, "not run", f"body is not valid JSON: {error}")
-        problems = documents.check(value, GROUP_SCHEMA, "body")
+        problems = documents.check_against_schema(value, GROUP_SCHEMA, "body")
         if problems:
             return problem_response(422, "not run", str(problems[0]))
         groups = documents.build(value, list[Group])
@@ -220,7 +220,7 @@
         self.idle_seconds[trainer.name] = idle
         self.mean_staleness[trainer.name] = sum(lag) / len(lag)
         self.process.metrics.record_duration("trainer_idle", idle, trainer=trainer.name)
-        self.process.recorder.note("delivered", f"{trainer.name}/{step.number}")
+        self.process.recorder.record("delivered", f"{trainer.name}/{step.number}")
         self.process.spawn(store.remove_old_step(step.number - 1))
         return json_response(
             200,
--- a/gypsumshift/weightrollout.py
+++ b/gypsumshift/weightrollout.py
@@ -134,7 +134,7 @@
         order = plan_waves(backends, version, pool.serving_floor)
         self.wave = next(n for n, wave in enumerate(order) if member.backend in wave)
         detail = f"version {version} wave {self.wave} of {len(order)}"
-        self.process.recorder.note("wave", member.backend, detail)
+        self.process.recorder.record("wave", member.backend, detail)
         earlier = {name for wave in order[: self.wave] for name in wave}
         deadline = self.clock.monotonic() + self.wave * pool.swap_allowance
         while self.clock.monotonic() < deadline and not self.all_loaded(
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -205,7 +205,7 @@
 
     @rule(lose=st.integers(0, 2), drop=st.integers(0, 2))
     def lose_or_drop_commits(self, lose, drop):
-        self.tables.lose_next, self.tables.drop_next = lose, drop
+        self.tables.lost_answers, self.tables.lost_requests = lose, drop
 
     @rule(cut=st.booleans())
     def cut_off_sidecars(self, cut):
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -106,7 +106,7 @@
 
     @rule(lose=st.integers(0, 2), drop=st.integers(0, 2))
     def lose_or_drop_commits(self, lose, drop):
-        self.tables.lose_next, self.tables.drop_next = lose, drop
+        self.tables.lost_answers, self.tables.lost_requests = lose, drop
 
     @invariant()
     def accepted_revisions_are_kept(self):
@@ -138,7 +138,7 @@
 def test_apply_with_a_lost_answer_returns_the_accepted_revision():
     tables = builders.FaultyTables()
     history = RevisionHistory(tables, builders.ManualClock())
-    tables.lose_next = 1
+    tables.lost_answers = 1
     outcome = asyncio.run(
         history.apply(0, declarations_with_zone("a"), "a", "m", "token")
     )
--- a/tests/test_samples.py
+++ b/tests/test_samples.py
@@ -69,7 +69,7 @@
             await trainer.publish(1, b"w")
             delivery = await trainer.step(1)
             check_token_versions(delivery)
-            await until(lambda: sidecar.backend.state.version == 1)
+            await wait_until(lambda: sidecar.backend.state.version == 1)
             assert engine.version == 1 and engine.fence == sidecar.member.fence
 
     system.run(work, services=0)
@@ -171,7 +171,7 @@
                 for e in sys.entries
                 if any(d.running for d in e.driver_manager.drivers.values())
             ]
-            driving = (await until(driving_entries))[0]
+            driving = (await wait_until(driving_entries))[0]
             await driving.stop()
             delivery = await pull
             assert len(delivery.samples) == 4
@@ -182,7 +182,7 @@
 def test_groups_submitted_twice_are_accepted_once():
     async def work(sys):
         async with sys.trainer() as trainer:
-            sys.tables.lose_next = 1
+            sys.tables.lost_answers = 1
             assert await trainer.submit(make_groups(3)) in (0, 3)
             assert await trainer.submit(make_groups(4)) == 1
             rows = await sys.tables.scan("groups", "tr/")
--- a/tests/test_sampling.py
+++ b/tests/test_sampling.py
@@ -5,7 +5,7 @@
 from gypsumshift import Group
 
 from . import system
-from .system import until
+from .system import wait_until
 from .test_samples import check_spans, check_token_versions
 
 
@@ -62,7 +62,7 @@
         async with sys.trainer() as trainer:
             await trainer.submit(make_groups(4, tokens=60))
             pull = asyncio.create_task(trainer.step(1))
-            await until(lambda: stalled.running)
+            await wait_until(lambda: stalled.running)
             await stalled.swapping.acquire()
             delivery = await pull
             check_token_versions(delivery)
@@ -80,7 +80,7 @@
             await wait_until(lambda: sys.engines[0].made > 20)
             await trainer.publish(5, b"w")
             trainer.version = 5
-            trainer.client.turn += 1
+            trainer.client.entry_index += 1
             pull_with_new_version = asyncio.create_task(trainer.step(1))
             delivery = await pull_with_new_version
             await pull
--- a/tests/test_trainerstore.py
+++ b/tests/test_trainerstore.py
@@ -116,7 +116,7 @@
 
     @rule(lose=st.integers(0, 1), drop=st.integers(0, 1))
     def lose_or_drop_commits(self, lose, drop):
-        self.tables.lose_next, self.tables.drop_next = lose, drop
+        self.tables.lost_answers, self.tables.lost_requests = lose, drop
 
     @invariant()
     def steps_are_valid(self):
@@ -183,7 +183,7 @@
     store = store_with_ready_groups()
 
     async def work():
-        store.tables.lose_next = 1
+        store.tables.lost_answers = 1
         await store.seal_step(2, BOUND)
         step = await store.seal_step(2, BOUND)
         assert isinstance(step, Step) and step.number == 1
