--- a/gypsumshift/admission.py
+++ b/gypsumshift/admission.py
@@ -1,9 +1,9 @@
-"""Admission: which requests run on a backend server now, wait, or are refused.
+"""Admission control: which requests to a backend server run, wait or are refused.
 
-Classes go in strict order: client, internal, sample. Within a class workspaces
-share by weight (start-time fair queueing), within a workspace the more urgent
-goes first. While clients are about, the others leave them as much room as they
-usually take.
+Request classes have strict priority: client, internal, sample. Within a class the
+workspaces share the slots by weight (start-time fair queueing), and within a workspace
+the more urgent request goes first. While there are client requests, the other classes
+leave as many slots free as client requests usually occupy.
 """
 
 import abc
@@ -21,9 +21,13 @@
 
 __all__ = ["Admission", "FairAdmission", "FifoAdmission", "Ticket"]
 
+# By priority, highest first.
 CLASSES = (RequestClass.CLIENT, RequestClass.INTERNAL, RequestClass.SAMPLE)
+# Least share of the slots that is kept for clients.
 CLIENT_RESERVE_SHARE = 0.25
+# Slots are kept for clients for this long after their last request.
 CLIENT_ACTIVITY_WINDOW_S = 10.0
+# Weights of the newest value in the moving averages.
 CLIENT_AVERAGE_WEIGHT = 0.05
 DURATION_AVERAGE_WEIGHT = 0.1
 MIN_RETRY_AFTER_S = 0.05
@@ -32,7 +36,7 @@
 
 @attrs.define(eq=False)
 class Ticket:
-    """One request before the backend server.
+    """One request that asks for a slot of the backend server.
 
     Attributes
     ----------
@@ -43,9 +47,13 @@
     share : int
         Weight of the workspace.
     urgency : int
-        Lower goes first within the workspace.
-    decide : callable
-        Called once, with True when admitted or False when refused.
+        Lower values go first within the workspace.
+    on_decision : callable
+        Called once, with True when the request is admitted or False when it is
+        refused after `Admission.offer` accepted it.
+    offered_at, admitted_at : float
+        By the monotonic clock, in seconds; 0 before.
+    waiting : bool
     """
 
     workspace: str
@@ -60,20 +68,30 @@
 
 
 class Admission(abc.ABC):
-    """Decides who runs; the base counts, the heirs choose.
+    """Admits, queues and refuses requests; subclasses decide the order.
 
     Parameters
     ----------
-    limit : Limit
-        How many run at once.
-    queue : int
-        How many wait, at the most.
+    limit : ConcurrencyLimit
+        Limit on the requests that run at once.
+    max_waiting : int
+        Limit on the requests that wait while no slot is free.
     clock : Clock
+
+    Attributes
+    ----------
+    running, waiting : int
+        Requests that run and wait now.
+    running_by_class, waiting_by_class : Counter
+        The same by request class; waiting only where a subclass counts it.
+    average_duration : float
+        Moving average of the seconds that an answered request ran.
+    refused_count : int
     """
 
-    def __init__(self, limit: ConcurrencyLimit, queue: int, clock: Clock):
+    def __init__(self, limit: ConcurrencyLimit, max_waiting: int, clock: Clock):
         self.limit = limit
-        self.max_waiting = queue
+        self.max_waiting = max_waiting
         self.clock = clock
         self.running = 0
         self.waiting = 0
@@ -84,26 +102,35 @@
 
     @abc.abstractmethod
     def push(self, ticket: Ticket) -> None:
-        """Keep a waiting ticket."""
+        """Add a waiting ticket to the queue."""
 
     @abc.abstractmethod
     def pop(self) -> Ticket | None:
-        """Take the next ticket that may run now; None where none may."""
+        """Remove and return the next ticket that may run now; None if there is none."""
 
     @abc.abstractmethod
     def evict_for(self, ticket: Ticket) -> Ticket | None:
-        """Take a waiting ticket that must yield to ``ticket`` in a full queue."""
+        """Remove and return a waiting ticket that a full queue drops for ``ticket``."""
 
     @abc.abstractmethod
     def count_ahead_of(self, ticket: Ticket) -> int:
-        """Return how many waiting tickets would run before this one."""
+        """Return the number of waiting tickets that would run before this one."""
 
     def has_free_slot(self, request_class: int) -> bool:
-        """Tell whether a request of a class would run at once."""
+        """Return whether a request of a class would run at once."""
         return self.running < self.limit.value and not self.waiting
 
     def offer(self, ticket: Ticket) -> float:
-        """Take a request; return 0, or seconds to come back after where refused."""
+        """Admit or queue a request; if refused, return the seconds until a retry.
+
+        It is refused if it could not start before its deadline, or if the queue is
+        full and none of the waiting tickets has to make room for it.
+
+        Returns
+        -------
+        float
+            0 if the request was admitted or queued.
+        """
         now = self.clock.monotonic()
         ticket.offered_at = now
         wait = self.estimate_wait(ticket)
@@ -124,12 +151,12 @@
         return 0.0
 
     def count_refusal(self, wait: float) -> float:
-        """Count a refusal; return when to come back."""
+        """Count a refusal; return the seconds until a retry, within bounds."""
         self.refused_count += 1
         return min(max(wait, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
 
     def estimate_wait(self, ticket: Ticket) -> float:
-        """Return the seconds that a ticket would wait, from recent durations."""
+        """Return the seconds that a ticket would wait, by the average duration."""
         free = self.limit.value - self.running
         ahead = self.count_ahead_of(ticket)
         if free > ahead:
@@ -137,7 +164,7 @@
         return self.average_duration * (ahead + 1 - max(free, 0)) / self.limit.value
 
     def admit_waiting(self) -> None:
-        """Let run what may run now."""
+        """Admit waiting tickets while slots are free; refuse those that expired."""
         now = self.clock.monotonic()
         while self.running < self.limit.value and (ticket := self.pop()):
             self.waiting -= 1
@@ -152,28 +179,40 @@
             ticket.on_decision(True)
 
     def withdraw(self, ticket: Ticket) -> None:
-        """Drop a waiting ticket whose caller gave up."""
+        """Cancel a waiting ticket whose caller gave up."""
         if ticket.waiting:
             ticket.waiting = False
             self.waiting -= 1
 
-    def release(self, ticket: Ticket, ok: bool) -> None:
-        """Take back the place of a ticket that has run."""
-        took = self.clock.monotonic() - ticket.admitted_at
+    def release(self, ticket: Ticket, answered: bool) -> None:
+        """Free the slot of a ticket that has run, and admit waiting ones.
+
+        Parameters
+        ----------
+        ticket : Ticket
+        answered : bool
+            Whether the request was answered; only then its duration counts.
+        """
+        duration_s = self.clock.monotonic() - ticket.admitted_at
         self.running -= 1
         self.running_by_class[ticket.request_class] -= 1
-        if ok:
-            step = DURATION_AVERAGE_WEIGHT if self.average_duration else 1.0
-            self.average_duration += step * (took - self.average_duration)
-        self.limit.record_request(took, self.running + 1, ok)
+        if answered:
+            weight = DURATION_AVERAGE_WEIGHT if self.average_duration else 1.0
+            self.average_duration += weight * (duration_s - self.average_duration)
+        self.limit.record_request(duration_s, self.running + 1, answered)
         self.admit_waiting()
 
 
 class FairAdmission(Admission):
-    """Classes in strict order, workspaces by weight, urgency within."""
+    """Strict priority of classes, weighted shares of workspaces, then urgency.
+
+    The shares are those of start-time fair queueing: each admission advances the
+    finish tag of its workspace by the inverse of the workspace's weight, and the
+    workspace with the lowest tag is served next.
+    """
 
-    def __init__(self, limit: ConcurrencyLimit, queue: int, clock: Clock):
-        super().__init__(limit, queue, clock)
+    def __init__(self, limit: ConcurrencyLimit, max_waiting: int, clock: Clock):
+        super().__init__(limit, max_waiting, clock)
         self.queues: dict[tuple[int, str], list] = {}
         self.finish_tags: dict[str, float] = {}
         self.virtual_time = 0.0
@@ -182,13 +221,13 @@
         self.average_clients = 0.0
 
     def push(self, ticket):
-        """Keep a waiting ticket."""
+        """Add a waiting ticket to the queue."""
         if ticket.request_class == RequestClass.CLIENT:
             self.last_client_at = self.clock.monotonic()
-            there = self.running_by_class[RequestClass.CLIENT]
-            there += self.waiting_by_class[RequestClass.CLIENT]
+            present = self.running_by_class[RequestClass.CLIENT]
+            present += self.waiting_by_class[RequestClass.CLIENT]
             self.average_clients += CLIENT_AVERAGE_WEIGHT * (
-                there - self.average_clients
+                present - self.average_clients
             )
         key = (ticket.request_class, ticket.workspace)
         entry = (ticket.urgency, next(self.sequence), ticket)
@@ -196,13 +235,13 @@
         self.waiting_by_class[ticket.request_class] += 1
 
     def withdraw(self, ticket):
-        """Drop a waiting ticket whose caller gave up."""
+        """Cancel a waiting ticket whose caller gave up."""
         if ticket.waiting:
             self.waiting_by_class[ticket.request_class] -= 1
         super().withdraw(ticket)
 
     def pop(self):
-        """Take the next ticket that may run now; None where none may."""
+        """Remove and return the next ticket that may run now; None if there is none."""
         for request_class in CLASSES:
             if not self.waiting_by_class[request_class] or not self.class_may_run(
                 request_class
@@ -214,33 +253,37 @@
         return None
 
     def has_free_slot(self, request_class):
-        """Tell whether a request of a class would run at once."""
+        """Return whether a request of a class would run at once."""
         waiting = sum(
-            n for kind, n in self.waiting_by_class.items() if kind <= request_class
+            n for other, n in self.waiting_by_class.items() if other <= request_class
         )
         free = self.running < self.limit.value and not waiting
         return free and self.class_may_run(request_class)
 
     def class_may_run(self, request_class: int) -> bool:
-        """Tell whether a class may take one more place."""
+        """Return whether a class may take one more slot beside the client reserve.
+
+        The reserve holds while clients have sent requests recently. It leaves the
+        other classes one slot in any case.
+        """
         if request_class == RequestClass.CLIENT:
             return True
         if self.clock.monotonic() - self.last_client_at > CLIENT_ACTIVITY_WINDOW_S:
             return True
-        kept = math.ceil(
+        reserved = math.ceil(
             max(CLIENT_RESERVE_SHARE * self.limit.value, self.expected_client_slots())
         )
         others = self.running - self.running_by_class[RequestClass.CLIENT]
-        return others < max(1, self.limit.value - kept)
+        return others < max(1, self.limit.value - reserved)
 
     def expected_client_slots(self) -> float:
-        """Return how many places clients take: the usual number and its spread."""
+        """Return the slots that clients usually take: their average plus its spread."""
         return self.average_clients + math.sqrt(self.average_clients)
 
     def pop_class(self, request_class: int) -> Ticket | None:
-        """Take the next ticket of a class, from the workspace least served."""
+        """Remove and return a class's next ticket, of the workspace least served."""
         while True:
-            names = [name for kind, name in self.queues if kind == request_class]
+            names = [name for each, name in self.queues if each == request_class]
             if not names:
                 return None
             name = min(
@@ -256,7 +299,7 @@
                 return ticket
 
     def charge_workspace(self, ticket: Ticket) -> None:
-        """Charge a workspace for one place."""
+        """Advance a workspace's finish tag by one admission."""
         start = max(self.finish_tags.get(ticket.workspace, 0.0), self.virtual_time)
         self.virtual_time = start
         self.finish_tags[ticket.workspace] = start + 1.0 / ticket.share
@@ -266,16 +309,22 @@
             }
 
     def evict_for(self, ticket):
-        """Take a ticket of a lower class, or of the workspace that waits the most."""
-        crowd = collections.Counter()
+        """Remove and return a ticket of a lower class or of a larger workspace.
+
+        A ticket of a lower class goes first. Otherwise one goes of the workspace
+        with the most waiting tickets in the same class, if it has at least two more
+        than the new ticket's workspace. Within a workspace the least urgent and newest
+        ticket goes.
+        """
+        counts = collections.Counter()
         for (request_class, name), heap in self.queues.items():
-            crowd[request_class, name] = sum(1 for item in heap if item[2].waiting)
-        lower = [key for key in crowd if key[0] > ticket.request_class and crowd[key]]
-        same = [key for key in crowd if key[0] == ticket.request_class]
-        own = crowd[ticket.request_class, ticket.workspace]
-        heavier = [key for key in same if crowd[key] > own + 1]
+            counts[request_class, name] = sum(1 for item in heap if item[2].waiting)
+        lower = [key for key in counts if key[0] > ticket.request_class and counts[key]]
+        same = [key for key in counts if key[0] == ticket.request_class]
+        own = counts[ticket.request_class, ticket.workspace]
+        heavier = [key for key in same if counts[key] > own + 1]
         choice = max(
-            lower or heavier, key=lambda key: (key[0], crowd[key]), default=None
+            lower or heavier, key=lambda key: (key[0], counts[key]), default=None
         )
         if choice is None:
             return None
@@ -289,7 +338,7 @@
         return entry[2]
 
     def count_ahead_of(self, ticket):
-        """Return how many waiting tickets would run before this one, at the most."""
+        """Return the most waiting tickets that could run before this one."""
         ahead = 0
         for request_class, count in self.waiting_by_class.items():
             if request_class <= ticket.request_class:
@@ -298,18 +347,18 @@
 
 
 class FifoAdmission(Admission):
-    """First come, first served; the plain baseline."""
+    """First come, first served, as a baseline for comparison."""
 
-    def __init__(self, limit: ConcurrencyLimit, queue: int, clock: Clock):
-        super().__init__(limit, queue, clock)
+    def __init__(self, limit: ConcurrencyLimit, max_waiting: int, clock: Clock):
+        super().__init__(limit, max_waiting, clock)
         self.tickets: collections.deque[Ticket] = collections.deque()
 
     def push(self, ticket):
-        """Keep a waiting ticket."""
+        """Add a waiting ticket to the queue."""
         self.tickets.append(ticket)
 
     def pop(self):
-        """Take the next ticket."""
+        """Remove and return the oldest waiting ticket."""
         while self.tickets:
             ticket = self.tickets.popleft()
             if ticket.waiting:
@@ -317,9 +366,9 @@
         return None
 
     def evict_for(self, ticket):
-        """Nobody yields to a later one."""
+        """Return None: no waiting ticket makes room for a later one."""
         return None
 
     def count_ahead_of(self, ticket):
-        """Return how many tickets wait."""
+        """Return the number of waiting tickets."""
         return self.waiting
--- a/gypsumshift/concurrencylimit.py
+++ b/gypsumshift/concurrencylimit.py
@@ -1,74 +1,87 @@
-"""Limits: how many requests a backend server runs at once, fixed or learnt."""
+"""Limits on the requests that a backend server runs at once, fixed or adaptive."""
 
 import abc
 import collections
 
 __all__ = ["FixedLimit", "AdaptiveLimit", "ConcurrencyLimit"]
 
+# Requests per window; the limit is adjusted after each full window.
 WINDOW_REQUESTS = 100
+# The limit is lowered if the median duration exceeds this multiple of the base.
 SLOWDOWN_TOLERANCE = 1.6
+# The limit is not lowered below this, unless the declared maximum is lower.
 MIN_LIMIT = 2
 DECREASE_FACTOR = 0.9
+# Factor by which the base duration may grow in one window.
 BASE_DRIFT_FACTOR = 1.02
 
 
 class ConcurrencyLimit(abc.ABC):
-    """How many requests may run at once."""
+    """Limit on the requests that run at once.
+
+    Attributes
+    ----------
+    value : int
+        Present limit.
+    """
 
     value: int
 
     @abc.abstractmethod
-    def record_request(self, took: float, beside: int, ok: bool) -> None:
-        """Take one finished request.
+    def record_request(
+        self, duration_s: float, concurrency: int, answered: bool
+    ) -> None:
+        """Record one finished request, which may change the limit.
 
         Parameters
         ----------
-        took : float
+        duration_s : float
             Seconds from admission to the end.
-        beside : int
-            How many ran at once, itself included.
-        ok : bool
-            Whether it was answered.
+        concurrency : int
+            Requests that ran at the same time, including this one.
+        answered : bool
+            Whether the request was answered.
         """
 
 
 class FixedLimit(ConcurrencyLimit):
-    """A limit that stays as declared."""
+    """Limit that keeps its declared value."""
 
     def __init__(self, value: int):
         self.value = value
 
-    def record_request(self, took, beside, ok):
-        """Nothing to learn."""
+    def record_request(self, duration_s, concurrency, answered):
+        """Do nothing: the limit is fixed."""
 
 
 class AdaptiveLimit(ConcurrencyLimit):
-    """A limit that follows the delay: down when it grows, up while it is flat.
+    """Limit that falls when requests become slower and rises while they do not.
 
-    It compares the median of a window with the least median seen, which drifts
-    up slowly so that a backend server that became slower is measured anew.
+    The median duration of each window is compared with the base, the lowest median
+    so far. The base drifts upwards slowly, so that it adapts to a backend server that
+    has become slower for good.
 
     Parameters
     ----------
-    most : int
-        The declared limit, never exceeded.
+    max_value : int
+        Declared limit, which is also the value at the start and never exceeded.
     """
 
-    def __init__(self, most: int):
-        self.max_value = most
-        self.value = most
+    def __init__(self, max_value: int):
+        self.max_value = max_value
+        self.value = max_value
         self.durations: collections.deque[float] = collections.deque(
             maxlen=WINDOW_REQUESTS
         )
         self.peak_concurrency = 0
         self.base_duration = 0.0
 
-    def record_request(self, took, beside, ok):
-        """Adjust after each full window."""
-        if not ok:
+    def record_request(self, duration_s, concurrency, answered):
+        """Record an answered request; adjust the limit after each full window."""
+        if not answered:
             return
-        self.durations.append(took)
-        self.peak_concurrency = max(self.peak_concurrency, beside)
+        self.durations.append(duration_s)
+        self.peak_concurrency = max(self.peak_concurrency, concurrency)
         if len(self.durations) < WINDOW_REQUESTS:
             return
         median = sorted(self.durations)[WINDOW_REQUESTS // 2]
@@ -77,9 +90,9 @@
             if self.base_duration
             else median
         )
-        least = min(MIN_LIMIT, self.max_value)
+        lowest = min(MIN_LIMIT, self.max_value)
         if median > SLOWDOWN_TOLERANCE * self.base_duration:
-            self.value = max(least, int(self.value * DECREASE_FACTOR))
+            self.value = max(lowest, int(self.value * DECREASE_FACTOR))
         elif self.peak_concurrency >= self.value:
             self.value = min(self.max_value, self.value + 1)
         self.durations.clear()
--- a/gypsumshift/retrybudget.py
+++ b/gypsumshift/retrybudget.py
@@ -1,17 +1,17 @@
-"""Budgets: how many retries a workspace may cause."""
+"""Budget that limits the retries of one workspace."""
 
 __all__ = ["RetryBudget"]
 
 
 class RetryBudget:
-    """Retries as a share of the requests, with a burst after a quiet time.
+    """Token bucket that limits retries to a share of the requests.
 
     Parameters
     ----------
     ratio : float
-        Retries earned by each request.
+        Tokens added by each request; a retry takes one.
     burst : int
-        Retries held at the most.
+        Tokens held at most, which is also the number at the start.
     """
 
     def __init__(self, ratio: float, burst: int):
@@ -20,11 +20,11 @@
         self.tokens = float(burst)
 
     def record_request(self) -> None:
-        """Count a request."""
+        """Add the tokens of one request, up to the burst."""
         self.tokens = min(self.burst, self.tokens + self.ratio)
 
     def try_spend(self) -> bool:
-        """Take one retry; return whether there was one left."""
+        """Take the token of one retry; return False if none is left."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission keeps its limits, decides once and starves nobody."""
+"""Admission keeps its limits, decides once per request and starves no workspace."""
 
 import collections
 
@@ -16,14 +16,14 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Requests come, run, give up and expire."""
+    """Requests arrive, run, are withdrawn and expire, in any order."""
 
-    kind = FairAdmission
+    admission_class = FairAdmission
 
     def __init__(self):
         super().__init__()
         self.clock = builders.ManualClock()
-        self.admission = self.kind(FixedLimit(LIMIT), QUEUE, self.clock)
+        self.admission = self.admission_class(FixedLimit(LIMIT), QUEUE, self.clock)
         self.decided = collections.Counter()
         self.running, self.waiting = [], []
 
@@ -68,12 +68,12 @@
         self.clock.advance(seconds)
 
     @invariant()
-    def counts_hold(self):
+    def counts_match_tickets(self):
         admission = self.admission
         assert admission.running == len(self.running) <= LIMIT
         assert admission.waiting == len(self.waiting) <= QUEUE + 1
         assert all(count == 1 for count in self.decided.values())
-        if self.kind is FairAdmission:
+        if self.admission_class is FairAdmission:
             waits = collections.Counter(t.request_class for t in self.waiting)
             assert +admission.waiting_by_class == +waits
             assert not any(t.request_class == 1 for t in self.waiting) or (
@@ -85,14 +85,14 @@
 
 
 class FifoMachine(AdmissionMachine):
-    kind = FifoAdmission
+    admission_class = FifoAdmission
 
 
 TestFifo = FifoMachine.TestCase
 
 
-def crowd(admission, order, count, **fields):
-    """Offer many tickets that note their workspace when admitted."""
+def offer_tickets(admission, order, count, **fields):
+    """Offer tickets that append themselves to ``order`` when admitted."""
     tickets = []
     for _ in range(count):
         ticket = Ticket(**({"workspace": "w", "deadline": 1e9} | fields))
@@ -104,8 +104,8 @@
     return tickets
 
 
-def drain(admission, order, count):
-    """Let one request after another run; return the order from the queue."""
+def finish_running(admission, order, count):
+    """Finish running requests one by one; return those admitted meanwhile."""
     start = len(order)
     for number in range(count):
         admission.release(order[number], True)
@@ -116,69 +116,69 @@
     return FairAdmission(FixedLimit(limit), queue, builders.ManualClock())
 
 
-def test_clients_go_before_internal_checks_before_samples():
+def test_clients_run_before_internal_requests_and_those_before_samples():
     admission, order = new_admission(), []
-    crowd(admission, order, 1, request_class=RequestClass.SAMPLE)
+    offer_tickets(admission, order, 1, request_class=RequestClass.SAMPLE)
     for request_class in (3, 2, 1):
-        crowd(admission, order, 2, request_class=request_class)
-    classes = [t.request_class for t in drain(admission, order, 6)]
+        offer_tickets(admission, order, 2, request_class=request_class)
+    classes = [t.request_class for t in finish_running(admission, order, 6)]
     assert classes == [1, 1, 2, 2, 3, 3]
 
 
-def test_a_flood_of_one_workspace_does_not_starve_another():
+def test_many_requests_of_one_workspace_do_not_starve_another():
     admission, order = new_admission(), []
-    crowd(admission, order, 100, request_class=1, workspace="flood")
-    crowd(admission, order, 5, request_class=1, workspace="quiet")
-    first = [t.workspace for t in drain(admission, order, 12)]
+    offer_tickets(admission, order, 100, request_class=1, workspace="flood")
+    offer_tickets(admission, order, 5, request_class=1, workspace="quiet")
+    first = [t.workspace for t in finish_running(admission, order, 12)]
     assert first.count("quiet") == 5
 
 
-def test_shares_weigh_the_workspaces():
+def test_workspaces_run_in_proportion_to_their_shares():
     admission, order = new_admission(), []
-    crowd(admission, order, 1, request_class=1, workspace="x")
-    crowd(admission, order, 60, request_class=1, workspace="heavy", share=30)
-    crowd(admission, order, 60, request_class=1, workspace="light", share=10)
-    first = [t.workspace for t in drain(admission, order, 40)]
+    offer_tickets(admission, order, 1, request_class=1, workspace="x")
+    offer_tickets(admission, order, 60, request_class=1, workspace="heavy", share=30)
+    offer_tickets(admission, order, 60, request_class=1, workspace="light", share=10)
+    first = [t.workspace for t in finish_running(admission, order, 40)]
     assert first.count("heavy") == pytest.approx(30, abs=2)
 
 
-def test_the_last_of_a_step_goes_first_within_its_trainer():
+def test_the_more_urgent_request_runs_first_within_a_workspace():
     admission, order = new_admission(), []
-    crowd(admission, order, 3, request_class=3, urgency=5)
-    crowd(admission, order, 1, request_class=3, urgency=2)
-    assert drain(admission, order, 1)[0].urgency == 2
+    offer_tickets(admission, order, 3, request_class=3, urgency=5)
+    offer_tickets(admission, order, 1, request_class=3, urgency=2)
+    assert finish_running(admission, order, 1)[0].urgency == 2
 
 
-def test_room_is_kept_while_clients_are_about():
+def test_slots_are_reserved_only_while_clients_were_seen_recently():
     admission, order = new_admission(limit=8), []
-    crowd(admission, order, 1, request_class=1)
-    crowd(admission, order, 20, request_class=3)
+    offer_tickets(admission, order, 1, request_class=1)
+    offer_tickets(admission, order, 20, request_class=3)
     assert admission.running == 6 + 1
     admission.clock.advance(60)
     admission.admit_waiting()
     assert admission.running == 8
 
 
-def test_a_full_queue_yields_to_a_client():
+def test_a_full_queue_drops_a_sample_for_a_client():
     admission, order = new_admission(queue=3), []
-    crowd(admission, order, 4, request_class=3)
+    offer_tickets(admission, order, 4, request_class=3)
     refused = []
     for ticket in [t for t in admission.queues[3, "w"]]:
         ticket[2].on_decision = lambda admitted: refused.append(admitted)
-    crowd(admission, order, 1, request_class=1)
+    offer_tickets(admission, order, 1, request_class=1)
     assert refused == [False] and admission.waiting == 3
 
 
-def test_a_deadline_that_cannot_be_met_is_refused_early():
+def test_a_request_that_cannot_start_before_its_deadline_is_refused_at_once():
     admission, order = new_admission(), []
-    crowd(admission, order, 3, request_class=1)
+    offer_tickets(admission, order, 3, request_class=1)
     admission.average_duration = 10.0
     ticket = Ticket("w", 1, admission.clock.monotonic() + 5)
     assert admission.offer(ticket) > 0
     assert admission.waiting == 2
 
 
-def test_a_learnt_limit_falls_with_delay_and_comes_back():
+def test_an_adaptive_limit_falls_when_requests_slow_down_and_recovers():
     limit = AdaptiveLimit(16)
     for _ in range(200):
         limit.record_request(0.1, 16, True)
