--- a/gypsumshift/attemptresults.py
+++ b/gypsumshift/attemptresults.py
@@ -1,4 +1,4 @@
-"""Answers: how one attempt at a sidecar ends, as an entry takes it."""
+"""Results of one attempt at a sidecar, and the reader that an entry gets them from."""
 
 from collections.abc import AsyncIterator
 
@@ -13,20 +13,23 @@
 
 __all__ = ["AnswerReader", "LostAttempt", "Refusal", "StreamedAnswer", "CompleteAnswer"]
 
+# Limit of an answer that is not a stream.
 MAX_BODY_BYTES = 16 * 1024 * 1024
 EVENT_STREAM = b"text/event-stream"
 
 
 @attrs.frozen
 class CompleteAnswer:
-    """A whole answer of a backend server.
+    """Complete answer of a backend server.
 
     Attributes
     ----------
     head : Head
     body : bytes
     backend : str
+        Name of the backend server.
     spans : list of Span
+        Weight versions of its tokens.
     """
 
     head: Head
@@ -37,18 +40,19 @@
 
 @attrs.define
 class StreamedAnswer:
-    """A streamed answer under way; its end may yet fail.
+    """Streamed answer in progress, which may still fail.
 
     Attributes
     ----------
     head : Head
     chunks : async iterator of bytes
-        Raises `LinkError` where the stream breaks.
+        Raises `PeerConnectionError` if the stream breaks.
     backend, sidecar : str
-    answer : Answer
-        Takes it; knows whether its backend server ended.
+        Names of the backend server and of its sidecar.
+    reader : AnswerReader
+        Reads the chunks and notes whether the backend server ended.
     spans : list of Span
-        Complete once the chunks have ended.
+        Weight versions of its tokens; complete once the chunks have ended.
     """
 
     head: Head
@@ -61,15 +65,15 @@
 
 @attrs.frozen
 class Refusal:
-    """A sidecar's true "not run".
+    """Result of an attempt that has not run and never will.
 
     Attributes
     ----------
     reason : str
     retry_after : float
-        Seconds.
+        Seconds until a retry makes sense.
     busy : bool
-        Whether it would only have had to wait.
+        Whether the sidecar refused only because the attempt would have had to wait.
     """
 
     reason: str
@@ -79,14 +83,15 @@
 
 @attrs.frozen
 class LostAttempt:
-    """An attempt that may have run.
+    """Result of an attempt that failed and may have run.
 
     Attributes
     ----------
     reason : str
     attempt : str
-    ended : bool
-        Whether its backend server ended under it.
+        Name of the attempt.
+    server_ended : bool
+        Whether the backend server ended while it ran the attempt.
     """
 
     reason: str
@@ -96,19 +101,20 @@
 
 @attrs.define
 class AnswerReader:
-    """Takes the answer of one attempt.
+    """Reads the answer to one attempt and reports it to the router.
 
     Attributes
     ----------
     router : Router
     clock : Clock
-    known : Known
-        The sidecar.
+    sidecar : Peer
     attempt : str
-    link : Link
-    exchange : Exchanges
-    ended : bool
-        Whether the backend server ended under the attempt.
+        Name of the attempt.
+    connection : PeerConnection
+    call : PendingCall
+        Call that started the attempt.
+    server_ended : bool
+        Whether the backend server ended while it ran the attempt.
     """
 
     router: Router
@@ -122,7 +128,13 @@
     async def read(
         self, began: float
     ) -> CompleteAnswer | StreamedAnswer | Refusal | LostAttempt | Unknown:
-        """Return the answer, or how the attempt failed."""
+        """Read and return the answer, or how the attempt failed.
+
+        Parameters
+        ----------
+        began : float
+            When the attempt was sent, by the monotonic clock, in seconds.
+        """
         streaming = False
         try:
             body = await self.call.receive()
@@ -143,16 +155,16 @@
                 self.call.close()
 
     def record_answer(self, began: float) -> None:
-        """Tell the router that the sidecar answered."""
+        """Report to the router that the sidecar answered, and how soon."""
         self.router.record_answer(self.sidecar, self.clock.monotonic() - began)
 
     def complete_answer(self, head: Head, body: bytes, end: End) -> CompleteAnswer:
-        """Return a whole answer."""
+        """Return a complete answer and record the load report at its end."""
         self.record_load(end.load)
         return CompleteAnswer(head, body, self.sidecar.member.backend, end.spans)
 
     def read_failure(self, body: Body) -> Refusal | LostAttempt:
-        """Return how an attempt failed."""
+        """Return the failure in a message, and report it to the router."""
         if body.refused is not None:
             self.record_load(body.refused.load)
             refused = body.refused
@@ -160,19 +172,24 @@
             return Refusal(refused.reason, wait, bool(refused.busy))
         self.router.record_failure(self.sidecar)
         self.record_server_end(body)
-        reason = body.broken.reason if body.broken else "an answer out of order"
+        reason = (
+            body.broken.reason
+            if body.broken
+            else "the sidecar sent an unexpected message"
+        )
         return LostAttempt(reason, self.attempt, self.server_ended)
 
     def record_server_end(self, body: Body) -> None:
-        """Take from a broken answer whether the backend server is gone.
+        """Note from a broken answer whether the backend server has ended.
 
-        Its sidecar asked it behind the break.
+        The sidecar requests the server's state after the answer broke, and sends it in
+        the load report.
         """
         load = body.broken.load if body.broken else None
         self.server_ended = load is not None and not load.healthy
 
     async def read_body(self, head: Head):
-        """Collect a long body up to its end; a broken one is no answer."""
+        """Read a body up to its end; one that breaks off is a failure."""
         parts = bytearray()
         while True:
             body = await self.call.receive()
@@ -185,45 +202,48 @@
                 return Unknown(f"the answer exceeds {MAX_BODY_BYTES} bytes")
 
     def streamed_answer(self, head: Head) -> StreamedAnswer:
-        """Return a stream whose chunks are read by whoever takes it."""
+        """Return a streamed answer whose chunks the caller reads."""
         spans: list[Span] = []
         member = self.sidecar.member
         chunks = self.read_chunks(spans)
         return StreamedAnswer(head, chunks, member.backend, member.name, self, spans)
 
     async def read_chunks(self, spans: list[Span]):
-        """Yield a stream's chunks; fill in the spans at its end."""
-        ended = False
+        """Yield a stream's chunks and fill in the spans at its end.
+
+        A stream that the caller leaves before its end is cancelled at the sidecar.
+        """
+        finished = False
         try:
             while True:
                 body = await self.call.receive()
                 if body.chunk is not None:
                     yield body.chunk.data
                     continue
-                ended = True
+                finished = True
                 if body.end is None:
                     self.router.record_failure(self.sidecar)
                     self.record_server_end(body)
                     raise PeerConnectionError(
-                        "the backend server broke the stream", True
+                        "the backend server broke off the stream", True
                     )
                 spans.extend(body.end.spans)
                 self.record_load(body.end.load)
                 return
         finally:
-            if not ended:
+            if not finished:
                 self.connection.send_oneway(Body(cancel=Cancel(self.attempt)))
             self.call.close()
             self.router.record_ended(self.sidecar)
 
     def record_load(self, load: Load) -> None:
-        """Take the load report that came along."""
+        """Record a load report in the membership and the router."""
         self.router.membership.record_load(self.sidecar, load)
         self.router.record_report(self.sidecar)
 
 
 def is_stream(head: Head) -> bool:
-    """Tell whether an answer is a stream of events."""
+    """Return whether an answer is a stream of events."""
     for header in head.headers:
         if header.name.lower() == b"content-type":
             return header.value.startswith(EVENT_STREAM)
--- a/gypsumshift/backend.py
+++ b/gypsumshift/backend.py
@@ -1,4 +1,4 @@
-"""Backend: the backend server beside a sidecar, its state and its weights."""
+"""Client of the backend server beside a sidecar, and the fence for its orders."""
 
 from gypsumshift import logs
 from gypsumshift.clock import Clock
@@ -12,24 +12,35 @@
 __all__ = ["Backend", "Fence"]
 
 STATE_TIMEOUT_S = 2.0
+# An order to load weights times out after this multiple of the pool's swap allowance.
 LATE_ORDER_FACTOR = 5.0
 BACKENDS_TABLE = "backends"
+# Pause between attempts to acquire the fence while the platform is down.
 FENCE_RETRY_PERIOD_S = 1.0
 
 log = logs.logger("backend")
 
 
 class Backend:
-    """One backend server, as its sidecar asks and orders it.
+    """Client by which a sidecar reads its backend server's state and loads weights.
 
     Parameters
     ----------
     address : (str, int)
     pool : Pool
-        Declaration of its pool.
+        Declaration of the server's pool.
     fetcher : Fetcher
     recorder : Recorder
     name : str
+
+    Attributes
+    ----------
+    state : BackendState
+        State by the last report; unhealthy before the first.
+    swapping : bool
+        Whether an order to load weights is under way.
+    failed_swaps : int
+        Orders in a row after which the server did not report the version ordered.
     """
 
     def __init__(self, address, pool: Pool, fetcher: Fetcher, recorder, name: str):
@@ -44,11 +55,11 @@
 
     @property
     def dialect(self) -> Dialect:
-        """How it reports and takes orders."""
+        """Dialect that the pool declares."""
         return DIALECTS[self.pool.dialect]
 
     async def fetch_state(self) -> BackendState:
-        """Ask for its state now."""
+        """Request the server's state, store and return it; no answer is unhealthy."""
         try:
             answer = await self.fetcher.fetch(
                 self.address, "GET", self.dialect.state_target, timeout=STATE_TIMEOUT_S
@@ -63,10 +74,11 @@
         return state
 
     async def load_weights(self, version: int, fence: int) -> bool:
-        """Order it to load a version; return whether it then reports that version.
+        """Order the server to load a version; return whether it then reports it.
 
-        An order whose answer is late or lost counts for nothing: what it reports
-        afterwards decides.
+        The answer to the order may be late or lost, so only the version that the
+        server reports afterwards decides. Nothing is sent in a dialect without weights,
+        which returns True.
         """
         order = self.dialect.weight_load_order(self.pool.name, version, fence)
         if order is None:
@@ -83,7 +95,12 @@
                 self.pool.swap_allowance * LATE_ORDER_FACTOR,
             )
         except FetchError as error:
-            log.warning("An order to load version {} failed: {}.", version, error)
+            log.warning(
+                "The order to load weight version {} failed: {}; the state that the "
+                "backend server reports next decides.",
+                version,
+                error,
+            )
         finally:
             self.swapping = False
         state = await self.fetch_state()
@@ -95,7 +112,10 @@
 
 
 class Fence:
-    """Right to give orders to one backend server, by the highest number.
+    """Fencing number for the orders to one backend server.
+
+    Each owner gets a higher number than the ones before it, and only the owner of the
+    highest number may give orders.
 
     Parameters
     ----------
@@ -104,6 +124,11 @@
     owner : str
         Unique to this process: its name and incarnation.
     clock : Clock
+
+    Attributes
+    ----------
+    number : int
+        Number of this process; 0 before it has one.
     """
 
     def __init__(self, tables: Tables, backend: str, owner: str, clock: Clock):
@@ -114,7 +139,11 @@
         self.number = 0
 
     async def acquire(self) -> int:
-        """Take the next number from the platform, waiting while it is down."""
+        """Claim and return the next number, retrying while the platform is down.
+
+        A number that this owner has already claimed is returned again, so an answer
+        that was lost costs no number.
+        """
         while True:
             row = await self.tables.read(BACKENDS_TABLE, self.backend)
             if isinstance(row, Unavailable):
@@ -132,7 +161,7 @@
                 await self.clock.sleep(FENCE_RETRY_PERIOD_S)
 
     async def is_superseded(self) -> bool:
-        """Tell whether the platform knows a newer owner; False while it is down."""
+        """Return whether the platform has a newer owner; False while it is down."""
         row = await self.tables.read(BACKENDS_TABLE, self.backend)
         if isinstance(row, (Missing, Unavailable)):
             return False
--- a/gypsumshift/dialects.py
+++ b/gypsumshift/dialects.py
@@ -1,4 +1,4 @@
-"""Dialects: how the backend servers of several vendors report and take orders."""
+"""Dialects of backend servers: how each vendor reports state and loads weights."""
 
 import abc
 import json
@@ -22,15 +22,15 @@
 
 @attrs.frozen
 class BackendState:
-    """What a backend server reports of itself.
+    """State that a backend server reports.
 
     Attributes
     ----------
     healthy : bool
     running, waiting : int
-        Requests, by its own lagging count.
+        Requests by the server's own count, which lags behind.
     version : int or None
-        Weight version loaded; None where it reports none.
+        Weight version loaded; None if the server reports none.
     """
 
     healthy: bool
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class WeightLoadOrder:
-    """An HTTP request that gives an order to a backend server."""
+    """HTTP request that orders a backend server to load a weight version."""
 
     method: str
     target: str
@@ -51,14 +51,14 @@
 
 @attrs.frozen
 class EventTokens:
-    """What one event of a stream says about tokens.
+    """Token count and weight version in one event of a stream.
 
     Attributes
     ----------
     tokens : int
-        Number of tokens in it.
+        Number of tokens in the event.
     version : int or None
-        Weight version reported along with them.
+        Weight version that the event reports; None if it reports none.
     """
 
     tokens: int = 0
@@ -66,22 +66,22 @@
 
 
 class Dialect(abc.ABC):
-    """One vendor's way to report state and to take orders."""
+    """Protocol by which one vendor's servers report state and load weights."""
 
     state_target = "/health"
 
     @abc.abstractmethod
     def parse_state(self, status: int, body: bytes) -> BackendState:
-        """Return the state in an answer to ``GET state_target``."""
+        """Parse the answer to ``GET state_target``; if unreadable, it is unhealthy."""
 
     def weight_load_order(
         self, pool: str, version: int, fence: int
     ) -> WeightLoadOrder | None:
-        """Return the order to load weights; None where it takes none."""
+        """Return the order to load a weight version; None if there is no such order."""
         return None
 
     def read_event_tokens(self, event: dict) -> EventTokens:
-        """Return what one event of a stream says about tokens."""
+        """Return the token count and weight version of one event of a stream."""
         return EventTokens()
 
 
@@ -92,18 +92,18 @@
 
 
 def parse_version(text: object) -> int | None:
-    """Return a weight version as the vendors write it, such as 7 or weights-7."""
+    """Parse a vendor's weight version, such as 7 or weights-7; None if unreadable."""
     digits = str(text).rpartition("-")[2]
     return int(digits) if digits.isdigit() else None
 
 
 class VllmDialect(Dialect):
-    """State as Prometheus text, versions in ``system_fingerprint``."""
+    """vLLM: state as Prometheus text, versions in ``system_fingerprint``."""
 
     state_target = "/metrics"
 
     def parse_state(self, status, body):
-        """Return the state on the metrics page."""
+        """Parse the state from the metrics page."""
         if status != 200:
             return BackendState(False)
         values, version = {}, None
@@ -120,25 +120,25 @@
         return BackendState(True, running, waiting, version)
 
     def weight_load_order(self, pool, version, fence):
-        """Return the order to load weights."""
+        """Return the order to load a weight version."""
         body = json.dumps({"model": pool, "weight_version": version}).encode()
         headers = [JSON_TYPE, (FENCING_HEADER, str(fence))]
         return WeightLoadOrder("POST", "/reload_weights", headers, body)
 
     def read_event_tokens(self, event):
-        """Return what one event of a stream says about tokens."""
+        """Return the token count and weight version of one event of a stream."""
         return EventTokens(
             token_count(event), parse_version(event.get("system_fingerprint"))
         )
 
 
 class SglangDialect(Dialect):
-    """State as JSON server info, versions in ``metadata.weight_version``."""
+    """SGLang: state as JSON server info, versions in ``metadata.weight_version``."""
 
     state_target = "/get_server_info"
 
     def parse_state(self, status, body):
-        """Return the state in the server info."""
+        """Parse the state from the server info."""
         try:
             info = json.loads(body)
             inner = (info.get("internal_states") or [{}])[0]
@@ -150,14 +150,14 @@
         return BackendState(status == 200, running, waiting, version)
 
     def weight_load_order(self, pool, version, fence):
-        """Return the order to load weights."""
+        """Return the order to load a weight version."""
         value = {"model_path": f"{pool}/{version}", "weight_version": str(version)}
         headers = [JSON_TYPE, (FENCING_HEADER, str(fence))]
         body = json.dumps(value).encode()
         return WeightLoadOrder("POST", "/update_weights_from_disk", headers, body)
 
     def read_event_tokens(self, event):
-        """Return what one event of a stream says about tokens."""
+        """Return the token count and weight version of one event of a stream."""
         metadata = event.get("metadata") or {}
         return EventTokens(
             token_count(event), parse_version(metadata.get("weight_version"))
@@ -165,10 +165,10 @@
 
 
 class PlainDialect(Dialect):
-    """A plain service with a health page in JSON."""
+    """Service without weights, with a health page in JSON."""
 
     def parse_state(self, status, body):
-        """Return the state on the health page."""
+        """Parse the state from the health page; the status alone decides on health."""
         try:
             page = json.loads(body)
             return BackendState(status == 200, int(page.get("running", 0)))
--- a/gypsumshift/peerconnection.py
+++ b/gypsumshift/peerconnection.py
@@ -1,4 +1,4 @@
-"""Links: question and answer between processes, many at a time per connection."""
+"""Connections between processes, each with many calls in flight."""
 
 import asyncio
 import itertools
@@ -18,20 +18,22 @@
 ]
 
 CONNECT_TIMEOUT_S = 1.0
+# A connection whose first frame takes longer is closed by the server.
 FIRST_FRAME_TIMEOUT_S = 5.0
+# A connection is closed if this many answers to one call wait to be read.
 MAX_INBOX_MESSAGES = 4096
 
 log = logs.logger("peer")
 
 
 class PeerConnectionError(Exception):
-    """The link failed.
+    """A call to a peer failed.
 
     Parameters
     ----------
     reason : str
     sent : bool
-        Whether the question may have reached the peer.
+        Whether the message may have reached the peer.
     """
 
     def __init__(self, reason: str, sent: bool):
@@ -40,7 +42,14 @@
 
 
 class PendingCall:
-    """One question on a link, and the bodies that answer it."""
+    """Call on a connection and its answers, which may be several messages.
+
+    Parameters
+    ----------
+    connection : PeerConnection
+    number : int
+        Exchange number on the connection; answers carry the same one.
+    """
 
     def __init__(self, link: "PeerConnection", number: int):
         self.connection = link
@@ -48,25 +57,30 @@
         self.inbox: asyncio.Queue[Body | None] = asyncio.Queue(MAX_INBOX_MESSAGES)
 
     async def receive(self) -> Body:
-        """Return the next answer."""
+        """Wait for and return the next answer."""
         body = await self.inbox.get()
         if body is None:
-            raise PeerConnectionError("the link ended", True)
+            raise PeerConnectionError("the connection to the peer closed", True)
         return body
 
     def close(self) -> None:
-        """Drop whatever answers still come."""
+        """End the call; any further answers are dropped."""
         self.connection.pending_calls.pop(self.number, None)
 
 
 class PeerConnection:
-    """Connection to one peer; a task of its own reads it.
+    """Client connection to one peer, opened on demand and read by its own task.
 
     Parameters
     ----------
     address : (str, int)
-        IP number and port.
+        IP address and port.
     recorder : Recorder
+
+    Attributes
+    ----------
+    pending_calls : dict of int to PendingCall
+        Calls that may still receive answers, by number.
     """
 
     def __init__(self, address: tuple[str, int], recorder: Recorder):
@@ -79,7 +93,7 @@
         self.connect_lock = asyncio.Lock()
 
     async def connected_stream(self) -> FrameStream:
-        """Return the stream, connecting where there is none."""
+        """Return the open stream; connect first if there is none."""
         if self.stream is not None:
             return self.stream
         async with self.connect_lock:
@@ -88,78 +102,85 @@
             return self.stream
 
     async def connect(self) -> None:
-        """Open the connection and start to read it."""
+        """Open the connection and start the task that reads it."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*self.address)
         except (OSError, TimeoutError) as error:
             host, port = self.address
             raise PeerConnectionError(
-                f"no link to {host}:{port}: {error}", False
+                f"cannot connect to peer {host}:{port}: {error}", False
             ) from error
         self.stream = FrameStream(reader, writer, self.recorder)
         self.read_task = asyncio.create_task(self.read_answers(self.stream))
 
     async def read_answers(self, stream: FrameStream) -> None:
-        """Hand each answer to its exchange; drop those that nobody awaits."""
+        """Deliver each answer to its call; drop answers to calls that have ended."""
         try:
             while True:
                 number, body = await stream.receive()
-                exchange = self.pending_calls.get(number)
-                if exchange is None:
+                call = self.pending_calls.get(number)
+                if call is None:
                     continue
-                if exchange.inbox.full():
-                    log.warning("Dropped a link whose reader fell behind.")
+                if call.inbox.full():
+                    log.warning(
+                        "{} answers to one call are unread; closing the connection to "
+                        "{}:{}.",
+                        MAX_INBOX_MESSAGES,
+                        *self.address,
+                    )
                     break
-                exchange.inbox.put_nowait(body)
+                call.inbox.put_nowait(body)
         except FrameError:
             pass
         finally:
             self.drop_stream(stream)
 
     def drop_stream(self, stream: FrameStream) -> None:
-        """Drop the connection and tell those who wait on it."""
+        """Close the connection and fail the pending calls."""
         stream.abort()
         if self.stream is not stream:
             return
         self.stream = None
-        waiting, self.pending_calls = self.pending_calls, {}
-        for exchange in waiting.values():
-            if exchange.inbox.full():
-                exchange.inbox.get_nowait()
-            exchange.inbox.put_nowait(None)
+        pending, self.pending_calls = self.pending_calls, {}
+        for call in pending.values():
+            if call.inbox.full():
+                call.inbox.get_nowait()
+            call.inbox.put_nowait(None)
 
     async def start_call(self, body: Body) -> PendingCall:
-        """Send a question; the answers come to the exchange returned."""
+        """Send a message and return the pending call that receives the answers."""
         stream = await self.connected_stream()
-        exchange = PendingCall(self, next(self.call_numbers))
-        self.pending_calls[exchange.number] = exchange
+        call = PendingCall(self, next(self.call_numbers))
+        self.pending_calls[call.number] = call
         try:
-            await stream.send(exchange.number, body)
+            await stream.send(call.number, body)
         except FrameError as error:
-            exchange.close()
+            call.close()
             raise PeerConnectionError(str(error), True) from error
-        return exchange
+        return call
 
     async def call(self, body: Body, timeout: float) -> Body:
-        """Send a question and return its one answer, within ``timeout`` seconds."""
+        """Send a message and return its first answer, within ``timeout`` seconds."""
         try:
             async with asyncio.timeout(timeout):
-                exchange = await self.start_call(body)
+                call = await self.start_call(body)
                 try:
-                    return await exchange.receive()
+                    return await call.receive()
                 finally:
-                    exchange.close()
+                    call.close()
         except TimeoutError as error:
-            raise PeerConnectionError("no answer in time", True) from error
+            raise PeerConnectionError(
+                f"the peer did not answer within {timeout} s", True
+            ) from error
 
     def send_oneway(self, body: Body) -> None:
-        """Send something that has no answer, where the link is up."""
+        """Send a message that has no answer; drop it if not connected."""
         if self.stream is not None:
             self.stream.write(next(self.call_numbers), body)
 
     def close(self) -> None:
-        """Cut the link."""
+        """Close the connection and stop the task that reads it."""
         if self.read_task:
             self.read_task.cancel()
         if self.stream:
@@ -167,7 +188,7 @@
 
 
 class PeerSession:
-    """One accepted connection, as the serving side sees it.
+    """Server side of one accepted connection.
 
     Parameters
     ----------
@@ -182,7 +203,7 @@
         self.open = True
 
     async def reply(self, exchange: int, body: Body) -> None:
-        """Send an answer where the connection still stands."""
+        """Send an answer; drop it if the connection has closed."""
         if not self.open:
             return
         try:
@@ -192,20 +213,21 @@
 
 
 class PeerServer:
-    """Serves links: one task per connection.
+    """Server for peers' connections, with one task per connection.
 
     Parameters
     ----------
     handler : callable
-        ``await handler(session, exchange, body)``; must not block for long.
-    ended : callable
-        ``ended(session)`` when a connection ended.
+        ``await handler(session, exchange, body)`` for each message; must not block
+        for long, since it delays the next message of the connection.
+    on_session_end : callable
+        ``on_session_end(session)``, called when a connection has closed.
     recorder : Recorder
     """
 
-    def __init__(self, handler, ended, recorder: Recorder):
+    def __init__(self, handler, on_session_end, recorder: Recorder):
         self.handler = handler
-        self.on_session_end = ended
+        self.on_session_end = on_session_end
         self.recorder = recorder
         self.session_numbers = itertools.count(1)
         self.tasks: set[asyncio.Task] = set()
@@ -213,24 +235,25 @@
         self.closed = False
 
     async def listen(self, host: str, port: int) -> int:
-        """Listen on an address; return the port taken."""
+        """Listen on an address; return the port, chosen by the system if it is 0."""
         self.listener = await asyncio.start_server(self.accept, host, port)
         return self.listener.sockets[0].getsockname()[1]
 
     def accept(self, reader, writer) -> None:
-        """Serve a connection in a task of its own."""
+        """Serve an accepted connection in its own task."""
         if self.closed:
-            # It was on its way when the listener closed; nobody would end it.
+            # The connection was being accepted when the listener closed; no task
+            # would ever close it.
             writer.transport.abort()
             return
         task = asyncio.create_task(self.serve_connection(reader, writer))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        # A task that is cancelled before it began never gets to its own end.
+        # A task that is cancelled before its first step never runs its ``finally``.
         task.add_done_callback(lambda _: writer.transport.abort())
 
     async def serve_connection(self, reader, writer) -> None:
-        """Serve one connection until it ends."""
+        """Pass the messages of one connection to the handler until it closes."""
         session = PeerSession(
             next(self.session_numbers), FrameStream(reader, writer, self.recorder)
         )
@@ -241,20 +264,20 @@
             while True:
                 await self.handler(session, *await session.stream.receive())
         except (FrameError, TimeoutError) as error:
-            log.debug("A link ended: {}.", error)
+            log.debug("A peer's connection closed: {}.", error)
         finally:
             session.open = False
             session.stream.abort()
             self.on_session_end(session)
 
     async def close(self) -> None:
-        """Stop listening and cut all connections."""
+        """Stop listening and close all connections."""
         self.abort_connections()
         if self.listener:
             await close_listener(self.listener)
 
     def abort_connections(self) -> None:
-        """Cut all connections, and each that comes from now on."""
+        """Close all connections, and any that is accepted from now on."""
         self.closed = True
         for task in list(self.tasks):
             task.cancel()
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -1,4 +1,4 @@
-"""Closing a listener leaves no connection hanging, of links and of HTTP alike."""
+"""Closing a listener leaves no connection open, of peers or of HTTP."""
 
 import asyncio
 import socket
@@ -10,34 +10,34 @@
 from tests.builders import recorder
 
 
-def new_links():
+def new_peer_server():
     server = PeerServer(None, lambda session: None, recorder())
     return server, server.close
 
 
-def new_http():
+def new_http_server():
     server = HttpServer(None)
     return server, lambda: server.stop(0)
 
 
-@pytest.mark.parametrize("new", [new_links, new_http])
-def test_a_connection_in_the_middle_of_being_accepted_is_cut_not_left_hanging(new):
-    async def play():
+@pytest.mark.parametrize("new", [new_peer_server, new_http_server])
+def test_a_connection_that_is_being_accepted_at_the_close_is_closed_too(new):
+    async def check():
         server, close = new()
         port = await server.listen("127.0.0.1", 0)
-        caller = socket.create_connection(("127.0.0.1", port))
-        caller.setblocking(False)
-        # After two turns of the loop the connection is taken off the listener and
-        # its protocol is not made yet.
+        client = socket.create_connection(("127.0.0.1", port))
+        client.setblocking(False)
+        # After two turns of the event loop the connection has been accepted from the
+        # listener, but its protocol has not been created yet.
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         await close()
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(5):
             try:
-                assert await loop.sock_recv(caller, 1) == b""
+                assert await loop.sock_recv(client, 1) == b""
             except ConnectionResetError:
                 pass
-        caller.close()
+        client.close()
 
-    asyncio.run(play())
+    asyncio.run(check())
