--- a/gypsumshift/heartbeats.py
+++ b/gypsumshift/heartbeats.py
@@ -1,7 +1,7 @@
-"""Heartbeats: who is alive, what is new, and the newest revision, from neighbours.
+"""Heartbeats between processes: liveness, load, changes and the newest revision.
 
-News rides on these messages, which flow anyway. Each heartbeat is answered by
-one, so both sides learn.
+Each heartbeat is answered by another, so that one exchange updates both processes.
+Changes of other processes and of weight versions are sent along with them.
 """
 
 import asyncio
@@ -15,9 +15,13 @@
 
 ANSWER_TIMEOUT_S = 1.0
 PULL_TIMEOUT_S = 2.0
+# Least pause between two rounds of heartbeats.
 MIN_GAP_S = 0.02
+# Limit on the changed peers in one heartbeat.
 MAX_CHANGED_PEERS = 8
+# Peers added at random to each heartbeat.
 RANDOM_PEERS = 1
+# A peer counts as changed for this long.
 CHANGE_WINDOW_S = 10.0
 
 log = logs.logger("heartbeat")
@@ -29,6 +33,15 @@
     Parameters
     ----------
     process : Process
+
+    Attributes
+    ----------
+    wake : asyncio.Event
+        Starts the next round of heartbeats at once.
+    include_callers : bool
+        Whether the next round also goes to the peers that only call this process.
+    pending_addresses : set of (str, int)
+        Addresses with an exchange in progress.
     """
 
     def __init__(self, process):
@@ -38,14 +51,14 @@
         self.pending_addresses: set[tuple[str, int]] = set()
 
     async def run(self) -> None:
-        """Exchange heartbeats, at once after a change, else at a steady rate."""
+        """Send heartbeats periodically, and at once when `wake` is set."""
         process = self.process
         while True:
             self.wake.clear()
             addresses = set(process.heartbeat_addresses())
             if self.include_callers:
                 addresses |= {
-                    known.address for known in process.membership.recent_callers()
+                    peer.address for peer in process.membership.recent_callers()
                 }
                 self.include_callers = False
             addresses -= self.pending_addresses
@@ -60,37 +73,37 @@
                 pass
 
     def broadcast(self) -> None:
-        """Tell what is new at once, also to those that only call here."""
+        """Send heartbeats at once, also to the peers that only call this process."""
         self.include_callers = True
         self.wake.set()
 
     async def exchange_heartbeat(self, address: tuple[str, int]) -> None:
-        """Exchange one heartbeat; pull the revision where the peer's is newer."""
+        """Exchange heartbeats with one peer; pull its revision if that is newer."""
         self.pending_addresses.add(address)
-        link = self.process.connection(address)
+        connection = self.process.connection(address)
         try:
-            answer = await link.call(
+            answer = await connection.call(
                 Body(heartbeat=self.make_heartbeat()), ANSWER_TIMEOUT_S
             )
             if answer.heartbeat is None:
                 return
             self.apply_heartbeat(answer.heartbeat)
             if answer.heartbeat.revision > self.process.active_revision.number:
-                await self.pull_revision(link)
+                await self.pull_revision(connection)
         except PeerConnectionError as error:
-            log.debug("No heartbeat from {}:{}: {}.", *address, error)
+            log.debug("Heartbeat exchange with {}:{} failed: {}.", *address, error)
         finally:
             self.pending_addresses.discard(address)
 
-    async def pull_revision(self, link: PeerConnection) -> None:
-        """Ask a peer for its revision and put it in force where it is newer."""
-        question = messages.PullRevision(self.process.active_revision.number)
-        answer = await link.call(Body(pull_revision=question), PULL_TIMEOUT_S)
+    async def pull_revision(self, connection: PeerConnection) -> None:
+        """Request a peer's revision and activate it if it is newer."""
+        request = messages.PullRevision(self.process.active_revision.number)
+        answer = await connection.call(Body(pull_revision=request), PULL_TIMEOUT_S)
         if answer.revision is not None:
             self.process.adopt_revision(answer.revision.number, answer.revision.text)
 
     def make_heartbeat(self, pool: str = "") -> Heartbeat:
-        """Return a heartbeat; with the targets of one pool only where it is named."""
+        """Return a heartbeat with the target version of one pool, or if empty of all."""
         targets = self.process.target_versions
         return Heartbeat(
             sender=self.process.member,
@@ -105,33 +118,40 @@
         )
 
     def members_to_send(self, pool: str) -> list[Member]:
-        """Return what changed lately, mates of the peer's pool first, and one more.
+        """Return the peers that changed recently, those of ``pool`` first, and others.
 
-        The one more, at random, mends what was missed; the rest of the time a
-        heartbeat stays short.
+        The others are drawn at random, which in time repairs changes that were missed
+        while heartbeats without changes stay short.
         """
         process = self.process
         since = process.clock.monotonic() - CHANGE_WINDOW_S
         everyone = list(process.membership.peers.values())
-        news = [known for known in everyone if known.changed >= since]
-        news.sort(key=lambda known: (known.member.pool != pool, -known.changed))
+        changed = [peer for peer in everyone if peer.changed >= since]
+        changed.sort(key=lambda peer: (peer.member.pool != pool, -peer.changed))
         others = process.random.sample(everyone, min(RANDOM_PEERS, len(everyone)))
-        return [known.member for known in news[:MAX_CHANGED_PEERS] + others]
+        return [peer.member for peer in changed[:MAX_CHANGED_PEERS] + others]
 
     def apply_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take a heartbeat that came from a peer."""
-        view = self.process.membership
-        before = view.change_count
-        view.apply_heartbeat(heartbeat.sender, heartbeat.revision, heartbeat.load)
+        """Update membership and target versions from a peer's heartbeat.
+
+        An entry forwards the changes at once.
+        """
+        membership = self.process.membership
+        before = membership.change_count
+        membership.apply_heartbeat(heartbeat.sender, heartbeat.revision, heartbeat.load)
         for member in heartbeat.peers:
-            view.merge_member(member)
+            membership.merge_member(member)
         for target in heartbeat.targets:
             self.process.set_target_version(target.pool, target.version)
-        if self.process.forwards_changes and view.change_count != before:
+        if self.process.forwards_changes and membership.change_count != before:
             self.wake.set()
 
     def answer_heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
-        """Return the answer to a heartbeat; ask at once where its news is newer."""
+        """Apply a received heartbeat and return the one that answers it.
+
+        If the peer's revision is newer, a round of heartbeats starts at once, which
+        pulls it.
+        """
         self.apply_heartbeat(heartbeat)
         self.process.membership.record_call(heartbeat.sender.name)
         if heartbeat.revision > self.process.active_revision.number:
--- a/gypsumshift/membership.py
+++ b/gypsumshift/membership.py
@@ -1,7 +1,7 @@
-"""Members: what this process knows of the others.
+"""Membership: the other processes of the system, as far as this one has seen them.
 
-Knowledge here only serves to choose well. A stale view is harmless, since a
-sidecar refuses what it must not run, whatever others believe of it.
+It is used only to choose a peer. Stale data is harmless, since a sidecar refuses any
+request that it must not run.
 """
 
 import hashlib
@@ -14,39 +14,42 @@
 
 __all__ = ["Peer", "Membership", "rendezvous_weight"]
 
+# A peer that has been silent for longer is removed.
 PEER_RETENTION_S = 30.0
+# A peer that has called within this time is notified of changes.
 RECENT_CALL_S = 15.0
 NEVER = float("-inf")
 
 
 def rendezvous_weight(key: str, name: str) -> int:
-    """Return the rendezvous weight of ``name`` for ``key``; the highest wins."""
+    """Return the rendezvous hash of ``name`` for ``key``; the highest is chosen."""
     digest = hashlib.blake2b(f"{key}\0{name}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
 @attrs.define
 class Peer:
-    """One other process.
+    """Another process of the system.
 
     Attributes
     ----------
     member : Member
-        What it says of itself, at first or second hand.
+        Its description of itself, received from it or passed on by another process.
     load : Load or None
-        Its last report, where it is a sidecar.
+        Its last load report, if it is a sidecar.
     revision : int
-        Revision that it last said to have in force.
+        Highest revision that it reported as active; -1 for none.
     heard : float
-        When it last answered or called, by the monotonic clock, in seconds.
+        When its last heartbeat arrived, by the monotonic clock, in seconds.
     reported : float
-        When ``load`` came, by the monotonic clock, in seconds.
+        When ``load`` arrived, by the monotonic clock, in seconds.
     learnt : float
-        When it first became known, by the monotonic clock, in seconds.
+        When it was first added here, by the monotonic clock, in seconds.
     called : float
-        When it last called here, by the monotonic clock, in seconds.
+        When it last sent a request here, by the monotonic clock, in seconds.
     changed : float
-        When it last left, or loaded weights, by the monotonic clock, in seconds.
+        When it was added, began to leave or loaded weights, by the monotonic clock, in
+        seconds.
     """
 
     member: Member
@@ -60,24 +63,35 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """IP number and peer port."""
+        """IP address and peer port."""
         return self.member.host, self.member.port
 
 
 class Membership:
-    """The other processes known here, by name.
-
-    ``news`` counts the changes that are worth telling others soon.
+    """Table of the other processes, updated by heartbeats and the platform's hosts.
 
     Parameters
     ----------
-    own : Member
+    own_member : Member
         This process.
     clock : Clock
+
+    Attributes
+    ----------
+    peers : dict of str to Peer
+        By name.
+    peers_by_pool : dict of str to dict
+        The same peers, by pool and name.
+    listed_hosts : dict of str to Host
+        Platform's last list of hosts, by name.
+    newest_fences : dict of str to int
+        Highest fencing number seen, by backend server.
+    change_count : int
+        Number of changes that other processes should receive soon.
     """
 
-    def __init__(self, own: Member, clock: Clock):
-        self.own_member = own
+    def __init__(self, own_member: Member, clock: Clock):
+        self.own_member = own_member
         self.clock = clock
         self.peers: dict[str, Peer] = {}
         self.peers_by_pool: dict[str, dict[str, Peer]] = {}
@@ -86,106 +100,125 @@
         self.change_count = 0
 
     def merge_member(self, member: Member) -> Peer | None:
-        """Take what somebody says of a process; return what is known of it then."""
+        """Merge the description of a process, received from it or from another one.
+
+        A newer incarnation replaces an older one. Within an incarnation, leaving,
+        fence and version never revert.
+
+        Returns
+        -------
+        Peer or None
+            Peer after the merge; None for this process and for older incarnations.
+        """
         if member.name == self.own_member.name:
             return None
         if member.backend:
             fence = max(self.newest_fences.get(member.backend, 0), member.fence)
             self.newest_fences[member.backend] = fence
-        known = self.peers.get(member.name)
-        if known is None or known.member.incarnation < member.incarnation:
-            if known is not None:
-                self.peers_by_pool[known.member.pool].pop(member.name, None)
+        peer = self.peers.get(member.name)
+        if peer is None or peer.member.incarnation < member.incarnation:
+            if peer is not None:
+                self.peers_by_pool[peer.member.pool].pop(member.name, None)
             now = self.clock.monotonic()
-            known = Peer(member, now, changed=now)
+            peer = Peer(member, now, changed=now)
             self.change_count += 1
-            self.peers[member.name] = known
-            self.peers_by_pool.setdefault(member.pool, {})[member.name] = known
-        elif known.member.incarnation > member.incarnation:
+            self.peers[member.name] = peer
+            self.peers_by_pool.setdefault(member.pool, {})[member.name] = peer
+        elif peer.member.incarnation > member.incarnation:
             return None
         else:
-            leaving = known.member.leaving or member.leaving
-            fence = max(known.member.fence, member.fence)
-            version = max(known.member.version, member.version)
-            if (leaving, version) != (known.member.leaving, known.member.version):
-                known.changed = self.clock.monotonic()
+            leaving = peer.member.leaving or member.leaving
+            fence = max(peer.member.fence, member.fence)
+            version = max(peer.member.version, member.version)
+            if (leaving, version) != (peer.member.leaving, peer.member.version):
+                peer.changed = self.clock.monotonic()
                 self.change_count += 1
-            known.member = member
-            known.member.leaving = leaving
-            known.member.fence = fence
-            known.member.version = version
-        self.mark_if_leaving(known)
-        return known
+            peer.member = member
+            peer.member.leaving = leaving
+            peer.member.fence = fence
+            peer.member.version = version
+        self.mark_if_leaving(peer)
+        return peer
 
     def apply_heartbeat(self, member: Member, revision: int, load: Load | None) -> None:
-        """Take what a process says of itself, directly."""
-        known = self.merge_member(member)
-        if known is None:
+        """Update a peer from a heartbeat that it sent itself."""
+        peer = self.merge_member(member)
+        if peer is None:
             return
-        known.heard = self.clock.monotonic()
-        known.revision = max(known.revision, revision)
+        peer.heard = self.clock.monotonic()
+        peer.revision = max(peer.revision, revision)
         if load is not None:
-            self.record_load(known, load)
+            self.record_load(peer, load)
 
     def record_call(self, name: str) -> None:
-        """Note that a process called here, so that news can go back to it."""
+        """Record that a peer called here, so that it is notified of changes."""
         if name in self.peers:
             self.peers[name].called = self.clock.monotonic()
 
     def recent_callers(self) -> list[Peer]:
-        """Return those that called here lately and did not leave."""
+        """Return the peers that called here recently and are not leaving."""
         since = self.clock.monotonic() - RECENT_CALL_S
         return [
-            known
-            for known in self.peers.values()
-            if known.called >= since and not known.member.leaving
+            peer
+            for peer in self.peers.values()
+            if peer.called >= since and not peer.member.leaving
         ]
 
-    def record_load(self, known: Peer, load: Load) -> None:
-        """Take a load report."""
-        known.load = load
-        known.reported = self.clock.monotonic()
+    def record_load(self, peer: Peer, load: Load) -> None:
+        """Store a peer's load report."""
+        peer.load = load
+        peer.reported = self.clock.monotonic()
 
     def apply_host_list(self, hosts: list[Host]) -> None:
-        """Take the platform's list; it may be old, so it only adds and marks."""
+        """Store the platform's list of hosts and mark the peers that leave by it.
+
+        The list may be old, so it never reverts what a peer reported.
+        """
         self.listed_hosts = {host.name: host for host in hosts}
-        for known in self.peers.values():
-            self.mark_if_leaving(known)
+        for peer in self.peers.values():
+            self.mark_if_leaving(peer)
 
-    def mark_if_leaving(self, known: Peer) -> None:
-        """Mark a process as leaving where the list says so of its very address."""
-        host = self.listed_hosts.get(known.member.name)
-        address = f"{known.member.host}:{known.member.port}"
+    def mark_if_leaving(self, peer: Peer) -> None:
+        """Mark a peer as leaving if the host list says so for its name and address.
+
+        The address tells it apart from a predecessor of the same name.
+        """
+        host = self.listed_hosts.get(peer.member.name)
+        address = f"{peer.member.host}:{peer.member.port}"
         if host and host.leaving and host.address == address:
-            known.member.leaving = True
+            peer.member.leaving = True
 
     def remove_stale_peers(self) -> None:
-        """Drop processes that neither answer nor stand on the platform's list."""
+        """Remove silent peers that are leaving or not on the platform's host list."""
         horizon = self.clock.monotonic() - PEER_RETENTION_S
-        for name, known in list(self.peers.items()):
-            quiet = max(known.heard, known.learnt) < horizon
-            if quiet and (name not in self.listed_hosts or known.member.leaving):
+        for name, peer in list(self.peers.items()):
+            silent = max(peer.heard, peer.learnt) < horizon
+            if silent and (name not in self.listed_hosts or peer.member.leaving):
                 del self.peers[name]
-                del self.peers_by_pool[known.member.pool][name]
+                del self.peers_by_pool[peer.member.pool][name]
 
     def entries(self) -> list[Peer]:
         """Return the entries that are not leaving."""
         return [
-            known
-            for known in self.peers.values()
-            if known.member.role == Role.ENTRY and not known.member.leaving
+            peer
+            for peer in self.peers.values()
+            if peer.member.role == Role.ENTRY and not peer.member.leaving
         ]
 
     def sidecars(self, pool: str) -> list[Peer]:
-        """Return the sidecars of a pool that may be given work."""
+        """Return the sidecars of a pool that accept requests.
+
+        Those that are leaving are left out, and those whose backend server a newer
+        sidecar has taken over.
+        """
         return [
-            known
-            for known in self.peers_by_pool.get(pool, {}).values()
-            if known.member.role == Role.SIDECAR
-            and not known.member.leaving
-            and known.member.fence >= self.newest_fences.get(known.member.backend, 0)
+            peer
+            for peer in self.peers_by_pool.get(pool, {}).values()
+            if peer.member.role == Role.SIDECAR
+            and not peer.member.leaving
+            and peer.member.fence >= self.newest_fences.get(peer.member.backend, 0)
         ]
 
     def is_superseded(self, backend: str, fence: int) -> bool:
-        """Tell whether a newer sidecar has taken over that backend server."""
+        """Return whether a newer sidecar has taken over a backend server."""
         return fence < self.newest_fences.get(backend, 0)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Configuration everywhere, leaving, and graceful shutdown, over real links."""
+"""Spread of revisions, leaving and graceful shutdown, over real connections."""
 
 import asyncio
 import copy
@@ -22,7 +22,7 @@
 
 
 async def apply(sys, base, timeout, entry=0, token="t"):
-    """Apply through an entry's operator face; return the status."""
+    """Apply declarations through an entry's operator port; return the status."""
     value = {"base": base, "declarations": changed(sys.source, timeout)}
     value |= {"author": "a", "message": "m", "token": f"{token}{entry}{timeout}"}
     address = sys.entries[entry].operator_address
@@ -30,19 +30,19 @@
     return (await Fetcher().fetch(address, "POST", "/v1/apply", [], body)).status
 
 
-def everywhere(sys, number):
-    """Tell whether a revision is in force in every process that runs."""
+def active_everywhere(sys, number):
+    """Return whether a revision is active in every running process."""
     processes = [*sys.entries, *sys.sidecars.values()]
     return all(
         p.active_revision.number >= number for p in processes if not p.stopped.is_set()
     )
 
 
-def test_an_accepted_revision_spreads_with_the_platform_down():
+def test_an_accepted_revision_spreads_while_the_platform_is_down():
     async def work(sys):
         assert await apply(sys, 1, 3.0) == 200
         sys.tables.down = True
-        await until(lambda: everywhere(sys, 2))
+        await until(lambda: active_everywhere(sys, 2))
         timeouts = {
             e.active_revision.catalog.workspaces["w"].timeout for e in sys.entries
         }
@@ -51,13 +51,13 @@
     system.run(work, entries=2)
 
 
-def test_racing_operators_get_one_acceptance_and_one_conflict():
+def test_concurrent_applies_get_one_acceptance_and_one_conflict():
     async def work(sys):
         statuses = await asyncio.gather(
             apply(sys, 1, 3.0, entry=0), apply(sys, 1, 4.0, entry=1)
         )
         assert sorted(statuses) == [200, 409]
-        await until(lambda: everywhere(sys, 2))
+        await until(lambda: active_everywhere(sys, 2))
         timeouts = {
             e.active_revision.catalog.workspaces["w"].timeout for e in sys.entries
         }
@@ -66,7 +66,7 @@
     system.run(work, entries=2)
 
 
-def test_a_rejected_apply_is_not_accepted_anywhere():
+def test_a_rejected_apply_adds_no_revision():
     async def work(sys):
         assert await apply(sys, 1, -1) == 422
         assert await sys.entries[0].revision_history.read_newest_number() == 1
@@ -74,7 +74,7 @@
     system.run(work)
 
 
-def test_processes_replaced_during_a_change_come_up_with_it():
+def test_processes_replaced_during_a_change_start_with_the_new_revision():
     async def work(sys):
         assert await apply(sys, 1, 3.0) == 200
         await asyncio.gather(
@@ -82,12 +82,12 @@
             sys.replace_sidecar("shop-1"),
             sys.add_entry("entry-9"),
         )
-        await until(lambda: everywhere(sys, 2))
+        await until(lambda: active_everywhere(sys, 2))
 
     system.run(work, services=2, entries=2)
 
 
-def test_a_process_cut_off_comes_back_to_the_newest_and_never_reverts():
+def test_a_reconnected_process_gets_the_newest_revision_and_never_reverts():
     async def work(sys):
         sidecar = sys.sidecars["shop-0"]
         port, sidecar.member.port = sidecar.member.port, 9
@@ -114,7 +114,7 @@
     system.run(work, engines=0)
 
 
-def test_an_empty_process_serves_only_once_it_has_a_revision():
+def test_a_new_entry_answers_503_until_it_has_a_revision():
     async def work(sys):
         sys.tables.down = True
         settings = sys.settings("entry-new", "entry")
@@ -134,9 +134,9 @@
     system.run(work)
 
 
-def test_a_late_host_list_does_not_matter_where_the_sidecar_refuses():
+def test_requests_avoid_a_leaving_sidecar_before_the_host_list_shows_it():
     async def work(sys):
-        sys.sidecars["shop-0"].start_leaving("told to")
+        sys.sidecars["shop-0"].start_leaving("test")
         async with sys.client() as client:
             for _ in range(10):
                 result = await client.once("GET", "/services/shop/x", [], b"", 5.0)
@@ -146,7 +146,7 @@
     system.run(work, engines=0, services=2)
 
 
-def test_a_dead_sidecar_gets_its_backend_server_no_work():
+def test_a_backend_server_gets_no_request_after_its_sidecar_stopped():
     async def work(sys):
         await sys.sidecars["shop-0"].stop()
         async with sys.client() as client:
@@ -159,28 +159,29 @@
     system.run(work, engines=0)
 
 
-def test_the_host_list_marks_only_the_very_address():
+def test_the_host_list_marks_only_the_process_at_the_listed_address():
     clock = builders.ManualClock()
-    view = Membership(builders.member("me"), clock)
-    view.merge_member(builders.member("sidecar-a", port=5))
-    view.apply_host_list([Host("sidecar-a", f"{HOST}:4", "here", leaving=True)])
-    assert len(view.sidecars("pool")) == 1
-    view.apply_host_list([Host("sidecar-a", f"{HOST}:5", "here", leaving=True)])
-    assert not view.sidecars("pool")
-    view.merge_member(builders.member("sidecar-a", port=6, incarnation=2))
-    assert len(view.sidecars("pool")) == 1
-
-
-def test_old_news_of_a_replaced_process_is_dropped():
-    view = Membership(builders.member("me"), builders.ManualClock())
-    view.merge_member(builders.member("sidecar-a", incarnation=2, port=6))
+    membership = Membership(builders.member("me"), clock)
+    membership.merge_member(builders.member("sidecar-a", port=5))
+    membership.apply_host_list([Host("sidecar-a", f"{HOST}:4", "here", leaving=True)])
+    assert len(membership.sidecars("pool")) == 1
+    membership.apply_host_list([Host("sidecar-a", f"{HOST}:5", "here", leaving=True)])
+    assert not membership.sidecars("pool")
+    membership.merge_member(builders.member("sidecar-a", port=6, incarnation=2))
+    assert len(membership.sidecars("pool")) == 1
+
+
+def test_a_description_of_an_earlier_incarnation_is_ignored():
+    membership = Membership(builders.member("me"), builders.ManualClock())
+    membership.merge_member(builders.member("sidecar-a", incarnation=2, port=6))
     assert (
-        view.merge_member(builders.member("sidecar-a", incarnation=1, port=5)) is None
+        membership.merge_member(builders.member("sidecar-a", incarnation=1, port=5))
+        is None
     )
-    assert view.peers["sidecar-a"].member.port == 6
+    assert membership.peers["sidecar-a"].member.port == 6
 
 
-def test_an_entry_that_leaves_finishes_its_streams_first():
+def test_a_draining_entry_finishes_its_streams():
     async def work(sys):
         entry, engine = sys.entries[0], sys.engines[0]
         engine.speed.step = 0.01
@@ -202,7 +203,7 @@
     system.run(work, services=0)
 
 
-def test_a_drain_deadline_cuts_what_never_ends_and_says_so():
+def test_a_stream_open_at_the_drain_deadline_is_cut_and_its_outcome_unknown():
     async def work(sys):
         entry, engine = sys.entries[0], sys.engines[0]
         async with sys.client(entry=0) as client:
@@ -217,7 +218,7 @@
     system.run(work, services=0)
 
 
-def test_everything_is_replaced_under_load_and_no_request_is_cut():
+def test_no_request_fails_while_all_processes_are_replaced_under_load():
     async def work(sys):
         outcomes, done = [], asyncio.Event()
 
@@ -249,34 +250,34 @@
     system.run(work, engines=0, services=2, entries=2)
 
 
-def test_a_system_forgets_a_process_that_is_gone_for_good():
+def test_a_silent_process_is_removed_after_the_retention_time():
     clock = builders.ManualClock()
-    view = Membership(builders.member("me"), clock)
-    view.apply_heartbeat(builders.member("sidecar-a"), 1, builders.load())
+    membership = Membership(builders.member("me"), clock)
+    membership.apply_heartbeat(builders.member("sidecar-a"), 1, builders.load())
     clock.advance(31)
-    view.remove_stale_peers()
-    assert not view.peers
+    membership.remove_stale_peers()
+    assert not membership.peers
 
 
-def test_a_process_that_comes_back_in_another_pool_is_in_that_one_only():
-    view = Membership(builders.member("me"), builders.ManualClock())
-    view.merge_member(builders.member("sidecar-a", pool="one"))
-    view.merge_member(builders.member("sidecar-a", pool="two", incarnation=2))
-    assert not view.sidecars("one") and len(view.sidecars("two")) == 1
+def test_a_process_restarted_in_another_pool_is_listed_in_that_one_only():
+    membership = Membership(builders.member("me"), builders.ManualClock())
+    membership.merge_member(builders.member("sidecar-a", pool="one"))
+    membership.merge_member(builders.member("sidecar-a", pool="two", incarnation=2))
+    assert not membership.sidecars("one") and len(membership.sidecars("two")) == 1
 
 
-def test_news_goes_back_to_those_that_only_call():
+def test_only_peers_that_called_recently_are_recent_callers():
     clock = builders.ManualClock()
-    view = Membership(builders.member("me"), clock)
-    view.merge_member(builders.member("sidecar-a"))
-    view.merge_member(builders.member("sidecar-b"))
-    view.record_call("sidecar-a")
-    assert [known.member.name for known in view.recent_callers()] == ["sidecar-a"]
+    membership = Membership(builders.member("me"), clock)
+    membership.merge_member(builders.member("sidecar-a"))
+    membership.merge_member(builders.member("sidecar-b"))
+    membership.record_call("sidecar-a")
+    assert [known.member.name for known in membership.recent_callers()] == ["sidecar-a"]
     clock.advance(60)
-    assert not view.recent_callers()
+    assert not membership.recent_callers()
 
 
-def test_a_sidecar_outside_every_subset_gets_a_revision_at_once():
+def test_a_sidecar_that_no_entry_sends_heartbeats_to_gets_a_revision_at_once():
     async def work(sys):
         entry = sys.entries[0]
         entry.heartbeat_addresses = lambda: []
@@ -284,6 +285,6 @@
             process.heartbeat_period = 3600.0
         await until(lambda: len(entry.membership.recent_callers()) == 2)
         assert await apply(sys, 1, 3.0) == 200
-        await until(lambda: everywhere(sys, 2))
+        await until(lambda: active_everywhere(sys, 2))
 
     system.run(work)
