--- a/gypsumshift/dispatch.py
+++ b/gypsumshift/dispatch.py
@@ -165,65 +165,65 @@
         return budget
 
     async def send(
-        self, job: PoolRequest
+        self, request: PoolRequest
     ) -> CompleteAnswer | StreamedAnswer | NotRun | Unknown:
         """Try backend servers until one answers, unless servers end under it."""
-        permit = await self.guard.admit(job.fingerprint, job.workspace)
+        permit = await self.guard.admit(request.fingerprint, request.workspace)
         if isinstance(permit, HeldBack):
             return permit
         result = None
         try:
-            result = await self.try_sidecars(job, permit)
+            result = await self.try_sidecars(request, permit)
             return result
         finally:
             if not isinstance(result, StreamedAnswer):
-                self.guard.release_permit(permit, job.attempts > 0)
+                self.guard.release_permit(permit, request.attempts > 0)
 
     async def try_sidecars(
-        self, job: PoolRequest, permit: Permit
+        self, request: PoolRequest, permit: Permit
     ) -> CompleteAnswer | StreamedAnswer | NotRun | Unknown:
         """Try backend servers until one answers, or nothing is left to try."""
-        router, budget = self.router(job.pool), self.budget(job.workspace)
+        router, budget = self.router(request.pool), self.budget(request.workspace)
         budget.record_request()
-        refusal = Refusal(f"no backend server of {job.pool} is known here", 1.0)
+        refusal = Refusal(f"no backend server of {request.pool} is known here", 1.0)
         lost = None
         for _ in range(MAX_TRIES + MAX_NO_WAIT_TRIES):
-            if not self.guard.may_send(permit, 0, job.attempts > 0):
+            if not self.guard.may_send(permit, 0, request.attempts > 0):
                 break
-            known = self.next_sidecar(job, router)
-            if known is None or job.deadline <= self.clock.monotonic():
+            sidecar = self.next_sidecar(request, router)
+            if sidecar is None or request.deadline <= self.clock.monotonic():
                 break
             result = await self.run_attempt(
-                job, known, new_attempt_name(last_mark(known))
+                request, sidecar, new_attempt_name(last_mark(sidecar))
             )
             if isinstance(result, LostAttempt) and result.server_ended:
-                self.guard.record_crash(permit, backend_start(known))
+                self.guard.record_crash(permit, backend_start(sidecar))
             if isinstance(result, LostAttempt):
-                if not job.repeatable:
-                    result = await self.resolve_lost_attempt(job, known, result)
+                if not request.repeatable:
+                    result = await self.resolve_lost_attempt(request, sidecar, result)
                 elif not budget.try_spend():
                     return Unknown(f"{result.reason}; no retry is left")
             if isinstance(result, Refusal):
                 refusal = result
                 if result.busy:
-                    job.busy.add(known.member.name)
+                    request.busy.add(sidecar.member.name)
             elif isinstance(result, LostAttempt):
                 lost = result
             else:
-                return self.report_to_guard(result, permit, known)
+                return self.report_to_guard(result, permit, sidecar)
         # One attempt that may have run makes the whole unknown, whatever came after.
         return Unknown(lost.reason) if lost else not_run_outcome(refusal)
 
-    def report_to_guard(self, result, permit: Permit, known: Peer):
+    def report_to_guard(self, result, permit: Permit, sidecar: Peer):
         """Have the guard learn from an answer, or from the end of a stream."""
         if isinstance(result, CompleteAnswer):
             self.guard.record_answer(permit, result.head.status)
         if isinstance(result, StreamedAnswer):
-            result.chunks = self.guarded_chunks(result.chunks, result, permit, known)
+            result.chunks = self.guarded_chunks(result.chunks, result, permit, sidecar)
         return result
 
     async def guarded_chunks(
-        self, chunks, result: StreamedAnswer, permit: Permit, known: Peer
+        self, chunks, result: StreamedAnswer, permit: Permit, sidecar: Peer
     ):
         """Yield the chunks of a stream, and have the guard learn how it ended."""
         try:
@@ -233,60 +233,66 @@
             self.guard.record_answer(permit, result.head.status)
         except PeerConnectionError:
             if result.reader.server_ended:
-                self.guard.record_crash(permit, backend_start(known))
+                self.guard.record_crash(permit, backend_start(sidecar))
             raise
         finally:
             self.guard.release_permit(permit, ran=True)
 
-    def next_sidecar(self, job: PoolRequest, router: Router) -> Peer | None:
+    def next_sidecar(self, request: PoolRequest, router: Router) -> Peer | None:
         """Return the sidecar to try next.
 
         The first ones are asked to refuse rather than have the request wait, where
         they seem to have a place; then it waits where the wait seems shortest.
         """
-        known = None
-        if len(job.busy) < MAX_NO_WAIT_TRIES:
-            known = router.choose_sidecar(job.avoid, job.affinity, job.request_class)
-            kind = job.request_class
-            job.no_wait = known is not None and router.has_free_slot(known, kind)
-        if known is None and job.busy:
-            job.avoid -= job.busy
-            job.no_wait = False
-            known = router.choose_sidecar(job.avoid, job.affinity, job.request_class)
-        if known is not None:
-            job.avoid.add(known.member.name)
-        return known
-
-    async def run_attempt(self, job: PoolRequest, known: Peer, attempt: str):
+        sidecar = None
+        if len(request.busy) < MAX_NO_WAIT_TRIES:
+            sidecar = router.choose_sidecar(
+                request.avoid, request.affinity, request.request_class
+            )
+            kind = request.request_class
+            request.no_wait = sidecar is not None and router.has_free_slot(
+                sidecar, kind
+            )
+        if sidecar is None and request.busy:
+            request.avoid -= request.busy
+            request.no_wait = False
+            sidecar = router.choose_sidecar(
+                request.avoid, request.affinity, request.request_class
+            )
+        if sidecar is not None:
+            request.avoid.add(sidecar.member.name)
+        return sidecar
+
+    async def run_attempt(self, request: PoolRequest, sidecar: Peer, attempt: str):
         """Send one attempt to one sidecar and take its answer.
 
         Returns
         -------
         Whole, Streamed, Refusal, Lost or Unknown
         """
-        result = await self.send_attempt(job, known, attempt)
-        job.attempts += not isinstance(result, Refusal)
+        result = await self.send_attempt(request, sidecar, attempt)
+        request.attempts += not isinstance(result, Refusal)
         return result
 
-    async def send_attempt(self, job: PoolRequest, known: Peer, attempt: str):
+    async def send_attempt(self, request: PoolRequest, sidecar: Peer, attempt: str):
         """Send one attempt to one sidecar and take its answer."""
-        router = self.router(job.pool)
-        link = self.process.connection(known.address)
+        router = self.router(request.pool)
+        link = self.process.connection(sidecar.address)
         began = self.clock.monotonic()
-        router.record_sent(known)
+        router.record_sent(sidecar)
         handed_on = False
         try:
-            async with asyncio.timeout(job.deadline - began):
-                start = self.start_message(job, known, attempt)
+            async with asyncio.timeout(request.deadline - began):
+                start = self.start_message(request, sidecar, attempt)
                 exchange = await link.start_call(Body(start=start))
                 answer = AnswerReader(
-                    router, self.clock, known, attempt, link, exchange
+                    router, self.clock, sidecar, attempt, link, exchange
                 )
                 result = await answer.read(began)
                 handed_on = isinstance(result, StreamedAnswer)
                 return result
         except PeerConnectionError as error:
-            router.record_failure(known)
+            router.record_failure(sidecar)
             if not error.sent:
                 return Refusal(str(error), 0.2)
             return LostAttempt(str(error), attempt)
@@ -298,43 +304,43 @@
             raise
         finally:
             if not handed_on:
-                router.record_ended(known)
+                router.record_ended(sidecar)
 
-    def start_message(self, job: PoolRequest, known: Peer, attempt: str) -> Start:
+    def start_message(self, request: PoolRequest, sidecar: Peer, attempt: str) -> Start:
         """Return the order that starts an attempt."""
-        remaining = job.deadline - self.clock.monotonic()
+        remaining = request.deadline - self.clock.monotonic()
         fields = end_to_end_headers(
             (name.encode("latin-1"), value.encode("latin-1"))
-            for name, value in job.headers
+            for name, value in request.headers
         )
         return Start(
             attempt=attempt,
-            incarnation=known.member.incarnation,
-            workspace=job.workspace,
-            request_class=job.request_class,
+            incarnation=sidecar.member.incarnation,
+            workspace=request.workspace,
+            request_class=request.request_class,
             timeout_ms=max(1, int(remaining * SIDECAR_TIMEOUT_SHARE * 1000)),
-            method=job.method,
-            target=job.target,
+            method=request.method,
+            target=request.target,
             headers=[Header(name, value) for name, value in fields],
-            body=job.body,
-            repeatable=job.repeatable,
-            oldest_version=job.oldest_version,
-            urgency=job.urgency,
-            share=job.share,
-            no_wait=job.no_wait,
+            body=request.body,
+            repeatable=request.repeatable,
+            oldest_version=request.oldest_version,
+            urgency=request.urgency,
+            share=request.share,
+            no_wait=request.no_wait,
         )
 
     async def resolve_lost_attempt(
-        self, job: PoolRequest, known: Peer, lost: LostAttempt
+        self, request: PoolRequest, sidecar: Peer, lost: LostAttempt
     ):
         """Learn from the sidecar what became of an attempt that is not repeatable."""
         reply = await self.await_final_state(
-            known.address, known.member.incarnation, lost.attempt, job.deadline
+            sidecar.address, sidecar.member.incarnation, lost.attempt, request.deadline
         )
         if reply.state == AttemptState.NEVER:
             return Refusal(lost.reason, 0.2)
         if reply.state == AttemptState.DONE:
-            return CompleteAnswer(reply.head, reply.body, known.member.backend)
+            return CompleteAnswer(reply.head, reply.body, sidecar.member.backend)
         return Unknown(lost.reason)
 
     async def await_final_state(
@@ -364,14 +370,14 @@
         return BarReply(AttemptState.UNKNOWN, None, b"")
 
 
-def backend_start(known: Peer) -> ServerStart:
+def backend_start(sidecar: Peer) -> ServerStart:
     """Return the backend server beside a sidecar, which tells no start of it."""
-    return ServerStart(known.member.backend, 0)
+    return ServerStart(sidecar.member.backend, 0)
 
 
-def last_mark(known: Peer) -> int:
+def last_mark(sidecar: Peer) -> int:
     """Return the mark last heard from a sidecar."""
-    return known.load.mark if known.load else 0
+    return sidecar.load.mark if sidecar.load else 0
 
 
 def not_run_outcome(refusal: Refusal) -> NotRun:
--- a/gypsumshift/entry.py
+++ b/gypsumshift/entry.py
@@ -1,4 +1,4 @@
-"""Entry: the process on an entry host, for callers, trainers and operators."""
+"""Process on an entry host, which serves callers, trainers and operators."""
 
 from gypsumshift import logs
 from gypsumshift.bearer import has_workspace_key, unauthorized
@@ -14,8 +14,11 @@
 
 __all__ = ["Entry"]
 
+# Sidecars of each pool that an entry exchanges heartbeats with.
 SIDECARS_PER_POOL = 16
+# Other entries, drawn at random, that each round of heartbeats goes to.
 HEARTBEAT_ENTRIES = 2
+# Time for the load balancer to notice that a draining entry accepts no new requests.
 BALANCER_PAUSE_S = 1.0
 
 log = logs.logger("entry")
@@ -24,8 +27,8 @@
 class Entry(Process):
     """Process on an entry host.
 
-    It holds nothing that may not be lost: requests under way are the sidecars',
-    what must last is the platform's.
+    It holds no state that must survive it: sidecars hold the requests in progress, and
+    the platform stores what is durable.
     """
 
     role = Role.ENTRY
@@ -42,7 +45,7 @@
         self.caller_address = ("", 0)
 
     async def start(self) -> None:
-        """Listen and run the tasks."""
+        """Listen on the ports and start the tasks."""
         await super().start()
         settings = self.settings
         port = await self.caller_server.listen(settings.host, settings.caller_port)
@@ -50,17 +53,24 @@
         self.spawn(self.dispatcher.run())
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Stop at once, without finishing requests."""
         await self.caller_server.stop(0)
         await super().stop()
 
     async def drain(self, deadline: float) -> None:
-        """Leave: the balancer first, then finish all requests, then stop."""
+        """Leave the load balancer, finish the requests that run, then stop.
+
+        Requests that still run ``deadline`` seconds after the load balancer's pause
+        are cut.
+        """
         if self.member.leaving:
             return
         self.member.leaving = True
         self.recorder.note("leaving", self.member.name)
-        log.info("Leaves; finishes what runs.")
+        log.info(
+            "Draining: accepts no new requests and finishes those that run within {} s.",
+            deadline,
+        )
         self.heartbeats.wake.set()
         await self.driver_manager.release_leases()
         await self.clock.sleep(BALANCER_PAUSE_S)
@@ -71,33 +81,40 @@
         """Start drivers for new trainers."""
         self.driver_manager.start_missing_drivers()
 
-    # Whom it knows
+    # Peers
 
     def is_poller(self):
-        """Tell whether this entry is one of its zone's pollers."""
+        """Return whether this entry is among its zone's pollers."""
         return self.ranks_as_poller(self.membership.entries())
 
     def heartbeat_addresses(self):
-        """Return its subset of every pool's sidecars, and a few entries."""
+        """Return the addresses of a subset of each pool's sidecars and of some entries.
+
+        The seeds are added if no other entry is known.
+        """
         chosen = []
-        pools = {known.member.pool for known in self.membership.peers.values()}
+        pools = {peer.member.pool for peer in self.membership.peers.values()}
         for pool in pools - {""}:
             chosen += self.sidecar_subset(pool)
         entries = self.membership.entries()
         self.random.shuffle(entries)
         chosen += entries[:HEARTBEAT_ENTRIES]
         if not entries:
-            return super().heartbeat_addresses() + [known.address for known in chosen]
-        return [known.address for known in chosen]
+            return super().heartbeat_addresses() + [peer.address for peer in chosen]
+        return [peer.address for peer in chosen]
 
     def sidecar_subset(self, pool: str):
-        """Return the sidecars of a pool that this entry works with."""
+        """Return the sidecars of a pool that this entry sends heartbeats to.
+
+        Sidecars of its own zone come first, then those with the highest rendezvous
+        weight, so that the entries' subsets differ.
+        """
         sidecars = self.membership.sidecars(pool)
         name, zone = self.member.name, self.member.zone
         sidecars.sort(
-            key=lambda known: (
-                known.member.zone != zone,
-                -rendezvous_weight(name, known.member.name),
+            key=lambda peer: (
+                peer.member.zone != zone,
+                -rendezvous_weight(name, peer.member.name),
             )
         )
         return sidecars[:SIDECARS_PER_POOL]
@@ -124,12 +141,12 @@
         return await self.caller_api.handle_request(request, workspace, slash + rest)
 
     async def serve_operator(self, request):
-        """Answer one request on the operators' port."""
+        """Answer one request on the operator port."""
         response = await self.operator_api.serve(request)
         return response or await super().serve_operator(request)
 
     def read_gauges(self):
-        """Return the figures that `status` and the scrape page show."""
+        """Return the gauges that `status` and the metrics page show, by name."""
         figures = super().read_gauges()
         figures["waiting"] = sum(self.caller_api.waiting_by_workspace.values())
         figures["caller_connections"] = len(self.caller_server.connections)
--- a/gypsumshift/heartbeats.py
+++ b/gypsumshift/heartbeats.py
@@ -103,7 +103,7 @@
             self.process.adopt_revision(answer.revision.number, answer.revision.text)
 
     def make_heartbeat(self, pool: str = "") -> Heartbeat:
-        """Return a heartbeat with the target version of one pool, or if empty of all."""
+        """Return a heartbeat with the target version of ``pool``; if empty, of all."""
         targets = self.process.target_versions
         return Heartbeat(
             sender=self.process.member,
--- a/gypsumshift/process.py
+++ b/gypsumshift/process.py
@@ -1,7 +1,7 @@
-"""Process: what every process of the system has, whatever its role.
+"""Base class of the processes of the system, entries and sidecars.
 
-It listens for its peers, exchanges heartbeats, keeps the newest revision in
-force, records events and answers operators' questions about itself.
+A process listens for its peers, exchanges heartbeats, activates the newest revision,
+records events and answers operators' requests about itself.
 """
 
 import asyncio
@@ -32,20 +32,39 @@
 
 __all__ = ["Process"]
 
+# Entries of an availability zone that poll the platform.
 POLLERS_PER_ZONE = 2
 
 log = logs.logger("process")
 
 
 class Process:
-    """One process of the system; a context manager that runs it.
+    """Process of the system; as a context manager it runs inside the block.
 
     Parameters
     ----------
     settings : Settings
     platform : Platform, optional
-        In place of the one that the settings name.
+        Used instead of the one that the settings name.
     clock : Clock, optional
+
+    Attributes
+    ----------
+    role : Role
+    heartbeat_period : float
+        Seconds between heartbeats without changes.
+    forwards_changes : bool
+        Whether changes received from one peer are sent to the others at once.
+    member : Member
+        Description of this process for its peers.
+    membership : Membership
+        The other processes.
+    target_versions : dict of str to int
+        Newest published weight version by pool.
+    connections : dict of (str, int) to PeerConnection
+        Client connections by address.
+    stopped : asyncio.Event
+        Set when the process is to end or has ended.
     """
 
     role = Role.ENTRY
@@ -81,10 +100,10 @@
         self.operator_address = ("", 0)
 
     def make_member(self) -> Member:
-        """Return this process as its peers shall know it."""
+        """Return the description of this process for its peers."""
         settings = self.settings
         started_us = int(self.clock.now().timestamp() * 1_000_000)
-        # The low bits tell apart two that start in the same microsecond.
+        # The random bits distinguish two processes started in the same microsecond.
         incarnation = (started_us << 10) | secrets.randbits(10)
         return Member(
             name=settings.name,
@@ -108,7 +127,7 @@
         await self.stop()
 
     async def start(self) -> None:
-        """Listen and run the tasks."""
+        """Listen on the ports and start the tasks."""
         settings = self.settings
         self.member.port = await self.peer_server.listen(
             settings.host, settings.peer_port
@@ -118,53 +137,63 @@
         self.spawn(self.poller.load_first_revision())
         self.spawn(self.heartbeats.run())
         self.spawn(self.poller.run())
-        log.info("Started as {} in {}.", settings.role, settings.zone)
+        log.info(
+            "Started with role {} in availability zone {}.",
+            settings.role,
+            settings.zone,
+        )
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Stop at once, without finishing requests."""
         self.stopped.set()
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         await self.peer_server.close()
-        for link in self.connections.values():
-            link.close()
+        for connection in self.connections.values():
+            connection.close()
         await self.operator_server.stop(0)
         self.metrics.close()
         log.info("Stopped.")
 
     def spawn(self, work) -> asyncio.Task:
-        """Run a task until it ends or the process stops."""
+        """Start a task that is cancelled when the process stops."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.on_task_done)
         return task
 
     def on_task_done(self, task: asyncio.Task) -> None:
-        """Take a finished task off the list; an unforeseen error stops the process."""
+        """Remove a finished task; one that ended with an error stops the process."""
         self.tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
-        log.critical("An invariant broke: {!r}.", task.exception())
+        log.critical(
+            "A task ended with an unexpected error, the process stops: {!r}.",
+            task.exception(),
+        )
         log.exception(exc_info=task.exception())
         self.stopped.set()
 
     def connection(self, address: tuple[str, int]) -> PeerConnection:
-        """Return the link to an address."""
+        """Return the connection to an address, creating it if there is none."""
         if address not in self.connections:
             self.connections[address] = PeerConnection(address, self.recorder)
         return self.connections[address]
 
     def close_connection(self, address: tuple[str, int]) -> None:
-        """Cut the link to an address."""
-        link = self.connections.pop(address, None)
-        if link:
-            link.close()
+        """Close the connection to an address, if there is one."""
+        connection = self.connections.pop(address, None)
+        if connection:
+            connection.close()
 
     # Revisions and weights
 
     def adopt_revision(self, number: int, text: str) -> None:
-        """Put a revision in force and tell the neighbours at once."""
+        """Activate a revision if it is newer, and send heartbeats about it at once.
+
+        A process without a revision ignores one that `Poller.may_start_with` rejects.
+        """
         if not self.active_revision.ready and not self.poller.may_start_with(number):
             return
         if self.active_revision.activate_if_newer(number, text):
@@ -172,10 +201,10 @@
             self.heartbeats.broadcast()
 
     def revision_changed(self) -> None:
-        """React to a new revision; roles extend it."""
+        """Apply a new active revision; overridden by the roles."""
 
     def set_target_version(self, pool: str, version: int) -> None:
-        """Take the newest published weight version of a pool."""
+        """Store a pool's published weight version if it is newer, and spread it."""
         if version > self.target_versions.get(pool, 0):
             self.target_versions[pool] = version
             self.recorder.note("published", f"{pool}@{version}", "known here")
@@ -183,30 +212,30 @@
             self.target_version_changed()
 
     def target_version_changed(self) -> None:
-        """React to a newly published weight version; roles extend it."""
+        """Apply a new target version; overridden by the roles."""
 
-    # What roles decide
+    # Overridden by the roles
 
     def is_poller(self) -> bool:
-        """Tell whether this process is one of the few that poll the platform."""
+        """Return whether this process polls the platform for revisions and versions."""
         return False
 
     def polls_hosts(self) -> bool:
-        """Tell whether this process reads the platform's list of hosts."""
+        """Return whether this process reads the platform's list of hosts."""
         return True
 
     def heartbeat_addresses(self) -> list[tuple[str, int]]:
-        """Return the addresses to send heartbeats to now."""
+        """Return the addresses that heartbeats are sent to: here, the seeds."""
         return [parse_address(seed) for seed in self.settings.seeds]
 
     def load_report(self) -> messages.Load | None:
-        """Return the load of the backend server beside this process, if any."""
+        """Return the load report of this process's backend server, if it has one."""
         return None
 
-    # Answers to peers
+    # Requests of peers
 
     async def serve_peer(self, session: PeerSession, exchange: int, body: Body) -> None:
-        """Answer one question of a peer."""
+        """Answer one message of a peer."""
         answer = None
         if body.heartbeat is not None:
             answer = Body(heartbeat=self.heartbeats.answer_heartbeat(body.heartbeat))
@@ -226,16 +255,22 @@
             await session.reply(exchange, answer)
 
     def session_ended(self, session: PeerSession) -> None:
-        """React to the end of a peer's connection; roles extend it."""
+        """Handle the end of a peer's connection; overridden by the roles."""
 
     async def drain(self, deadline: float) -> None:
-        """Leave: take no new work, finish what runs, stop."""
+        """Accept no new requests and finish those that run, within a deadline.
+
+        Parameters
+        ----------
+        deadline : float
+            Seconds from now.
+        """
         raise NotImplementedError
 
-    # Answers to operators
+    # Requests of operators
 
     def read_gauges(self) -> dict[str, float]:
-        """Return the figures that `status` and the scrape page show."""
+        """Return the gauges that `status` and the metrics page show, by name."""
         return {
             "revision": self.active_revision.number,
             "known_processes": len(self.membership.peers),
@@ -255,7 +290,7 @@
         )
 
     async def serve_operator(self, request: Request) -> Response:
-        """Answer one request on the operators' port."""
+        """Answer one request on the operator port."""
         if request.path == "/metrics":
             content_type = ("content-type", "text/plain; version=0.0.4")
             return Response(200, [content_type], scrape())
@@ -264,24 +299,29 @@
         return problem_response(404, "not run", f"there is nothing at {request.path}")
 
     def health_response(self) -> Response:
-        """Answer the balancer: whether new requests are welcome here."""
+        """Answer a load balancer's health check: 200 if new requests are accepted."""
         if self.member.leaving or not self.active_revision.ready:
             reason = "leaving" if self.member.leaving else "no revision yet"
             return problem_response(503, "not run", reason)
         return json_response(200, {"status": "ok"})
 
     def ranks_as_poller(self, candidates: list[Peer]) -> bool:
-        """Tell whether this process ranks among its zone's pollers."""
+        """Return whether this process is among its zone's pollers.
+
+        The live processes of the zone with the highest rendezvous weights poll.
+        """
         names = [
-            known.member.name
-            for known in candidates
-            if known.member.zone == self.member.zone and self.is_alive(known)
+            peer.member.name
+            for peer in candidates
+            if peer.member.zone == self.member.zone and self.is_alive(peer)
         ]
-        mine = rendezvous_weight("poller", self.member.name)
-        better = sum(1 for name in names if rendezvous_weight("poller", name) > mine)
-        return better < POLLERS_PER_ZONE
+        own_weight = rendezvous_weight("poller", self.member.name)
+        higher = sum(
+            1 for name in names if rendezvous_weight("poller", name) > own_weight
+        )
+        return higher < POLLERS_PER_ZONE
 
-    def is_alive(self, known: Peer) -> bool:
-        """Tell whether a process was heard of within a few heartbeats."""
+    def is_alive(self, peer: Peer) -> bool:
+        """Return whether a peer sent a heartbeat within the last four periods."""
         horizon = self.clock.monotonic() - 4 * self.heartbeat_period
-        return known.heard >= horizon
+        return peer.heard >= horizon
--- a/gypsumshift/sidecar.py
+++ b/gypsumshift/sidecar.py
@@ -1,4 +1,4 @@
-"""Sidecar: the process beside one backend server, and its only sender."""
+"""Process beside one backend server, and the only one that sends requests to it."""
 
 from gypsumshift import logs
 from gypsumshift.addresses import parse_address
@@ -17,9 +17,11 @@
 
 __all__ = ["Sidecar"]
 
+# Entries that a sidecar sends heartbeats to.
 HEARTBEAT_ENTRIES = 3
 STATE_PERIOD_S = 1.0
 DRAIN_CHECK_PERIOD_S = 0.05
+# Used where a drain order gives no deadline.
 DEFAULT_DRAIN_DEADLINE_S = 30.0
 
 log = logs.logger("sidecar")
@@ -28,8 +30,9 @@
 class Sidecar(Process):
     """Process beside one backend server.
 
-    It alone sends requests and orders there. So it can say truly that a request
-    has not run, and label tokens by what the engine reports.
+    No other process sends requests or orders to the backend server. The sidecar can
+    therefore state reliably that a request has not run, and label tokens with the
+    weight version that the engine reports.
     """
 
     role = Role.SIDECAR
@@ -52,52 +55,55 @@
         )
 
     async def start(self) -> None:
-        """Listen and run the tasks."""
+        """Listen on the ports and start the tasks."""
         await super().start()
         self.spawn(self.acquire_fence())
         self.spawn(self.poll_backend_state())
         self.spawn(self.weight_rollout.run())
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Stop at once, without finishing requests."""
         await super().stop()
         self.fetcher.close_idle()
 
-    # What it knows
+    # Configuration and peers
 
     def revision_changed(self) -> None:
-        """Take the declaration of its pool."""
+        """Apply the new declaration of this sidecar's pool."""
         pool = self.active_revision.catalog.pools.get(self.settings.pool)
         if pool is not None and pool != self.backend.pool:
             self.backend.pool = pool
             self.attempt_runner.update_pool(pool)
 
     def target_version_changed(self):
-        """Have the rollout look at the new version."""
+        """Wake the weight rollout, which loads the new version."""
         self.weight_rollout.wake.set()
 
     def heartbeat_addresses(self):
-        """Return a few entries; the seeds where none is known."""
+        """Return the addresses of some entries; the seeds if no entry is known.
+
+        Rendezvous weights spread the sidecars over the entries.
+        """
         entries = self.membership.entries()
         if not entries:
             return super().heartbeat_addresses()
         entries.sort(
-            key=lambda known: -rendezvous_weight(self.member.name, known.member.name)
+            key=lambda peer: -rendezvous_weight(self.member.name, peer.member.name)
         )
-        return [known.address for known in entries[:HEARTBEAT_ENTRIES]]
+        return [peer.address for peer in entries[:HEARTBEAT_ENTRIES]]
 
     def polls_hosts(self):
-        """Read the platform's list only where nobody else tells of entries."""
+        """Return whether to read the platform's host list: only if no entry is known."""
         return not self.membership.entries()
 
     def load_report(self) -> messages.Load:
-        """Return the load of the backend server."""
+        """Return the load report of the backend server; update the version reported."""
         load = self.attempt_runner.current_load()
         self.member.version = load.version
         return load
 
     def read_gauges(self):
-        """Return the figures that `status` and the scrape page show."""
+        """Return the gauges that `status` and the metrics page show, by name."""
         load = self.load_report()
         return super().read_gauges() | {
             "running": load.running,
@@ -114,10 +120,10 @@
             "healthy": int(load.healthy),
         }
 
-    # Its backend server
+    # Backend server
 
     async def acquire_fence(self) -> None:
-        """Take the fencing number, and learn whether operators drain this one."""
+        """Acquire the fencing number; leave if operators have ordered a drain."""
         self.member.fence = await self.fence.acquire()
         self.recorder.note("fence", self.settings.backend, str(self.member.fence))
         key = LEAVING_PREFIX + self.settings.backend
@@ -127,21 +133,27 @@
         self.heartbeats.wake.set()
 
     async def poll_backend_state(self) -> None:
-        """Ask for the backend server's state, again and again."""
+        """Fetch the backend server's state periodically until cancelled."""
         while True:
             await self.backend.fetch_state()
             await self.clock.sleep(STATE_PERIOD_S)
 
     def start_leaving(self, reason: str) -> None:
-        """Take no new work from now on."""
+        """Accept no new requests from now on, and send heartbeats about it at once."""
         if not self.member.leaving:
             self.member.leaving = True
             self.recorder.note("leaving", self.settings.backend, reason)
-            log.info("Takes no new work: {}.", reason)
+            log.info("Leaving, accepts no new requests: {}.", reason)
             self.heartbeats.wake.set()
 
     async def drain(self, deadline: float) -> None:
-        """Take no new work and finish what runs, within ``deadline`` seconds."""
+        """Accept no new requests and finish those that run, within a deadline.
+
+        Parameters
+        ----------
+        deadline : float
+            Seconds from now; 0 for the default.
+        """
         self.start_leaving("drain ordered")
         end = self.clock.monotonic() + (deadline or DEFAULT_DRAIN_DEADLINE_S)
         while self.attempt_runner.running and self.clock.monotonic() < end:
@@ -150,7 +162,7 @@
     # Requests
 
     async def serve_peer(self, session, exchange, body):
-        """Answer one question of a peer."""
+        """Answer one message of a peer."""
         if body.start is not None:
             self.attempt_runner.accept_attempt(session, exchange, body.start)
         elif body.cancel is not None:
@@ -163,5 +175,5 @@
             await super().serve_peer(session, exchange, body)
 
     def session_ended(self, session):
-        """Give up what a lost entry can no longer receive."""
+        """Cancel the repeatable attempts of a connection that has closed."""
         self.attempt_runner.cancel_session_attempts(session)
