--- a/gypsumshift/callerapi.py
+++ b/gypsumshift/callerapi.py
@@ -1,4 +1,4 @@
-"""Callers: the HTTP face for requests to models and plain services."""
+"""HTTP API for callers: requests to models and plain services of a workspace."""
 
 import asyncio
 import datetime
@@ -23,21 +23,26 @@
 KEY_HEADER = "idempotency-key"
 FRESH_KEY_HEADER = "gypsumshift-fresh-key"
 MAX_KEY_LENGTH = 256
+# ``wait`` of the Prefer header (RFC 7240) and ``u`` of the Priority header (RFC 9218).
 WAIT_PREFERENCE = re.compile(r"(?:^|[,;\s])wait=(\d+(?:\.\d+)?)")
 URGENCY_PARAMETER = re.compile(r"(?:^|[,\s])u=([0-7])")
 DEFAULT_URGENCY = 3
+# From this urgency on a request counts as internal.
 INTERNAL_URGENCY = 5
+# Requests whose bodies share this prefix share their affinity.
 AFFINITY_PREFIX_BYTES = 256
+# Header fields that are not passed on to backend servers.
 CONSUMED_HEADERS = (KEY_HEADER, FRESH_KEY_HEADER, UNREPEATABLE_HEADER, "prefer")
 
 
 def matches_route(patterns: list[str], method: str, path: str) -> bool:
-    """Tell whether a request matches one of some declared routes.
+    """Return whether a request matches one of the declared routes.
 
     Parameters
     ----------
     patterns : list of str
-        Method (or ``*``), blank, and a path in which ``*`` stands for one part.
+        Each a method (or ``*``), a space, and a path in which ``*`` stands for one
+        segment.
     method, path : str
     """
     for pattern in patterns:
@@ -53,12 +58,17 @@
 
 
 class CallerApi:
-    """Answers callers.
+    """Handler of callers' requests.
 
     Parameters
     ----------
     process : Process
     dispatcher : Dispatcher
+
+    Attributes
+    ----------
+    waiting_by_workspace : dict of str to int
+        Requests in progress here, by workspace.
     """
 
     def __init__(self, process: Process, dispatcher: Dispatcher):
@@ -73,21 +83,21 @@
     async def handle_request(
         self, request: Request, workspace: str, rest: str
     ) -> Response:
-        """Answer one request to a workspace's model or services.
+        """Answer one request to a workspace's model or services, and count it.
 
         Parameters
         ----------
         request : Request
         workspace : str
         rest : str
-            Path behind the workspace, with its leading slash.
+            Path after the workspace, with its leading slash.
         """
         parameters = self.process.active_revision.catalog.workspaces[workspace]
-        job = self.make_request(request, workspace, rest, parameters)
-        if isinstance(job, Response):
-            return job
+        pool_request = self.make_request(request, workspace, rest, parameters)
+        if isinstance(pool_request, Response):
+            return pool_request
         if self.waiting_by_workspace.get(workspace, 0) >= parameters.waiting:
-            detail = f"{parameters.waiting} requests of {workspace} wait here already"
+            detail = f"{workspace} has reached its limit of {parameters.waiting} waiting requests"
             return problem_response(429, "not run", detail, retry_after=1.0)
         self.waiting_by_workspace[workspace] = (
             self.waiting_by_workspace.get(workspace, 0) + 1
@@ -95,24 +105,30 @@
         began = self.clock.monotonic()
         outcome = "cancelled"
         try:
-            response, outcome = await self.run_request(request, job)
+            response, outcome = await self.run_request(request, pool_request)
             return response
         finally:
             self.waiting_by_workspace[workspace] -= 1
-            self.count_request(job, outcome, self.clock.monotonic() - began)
+            self.count_request(pool_request, outcome, self.clock.monotonic() - began)
 
-    def count_request(self, job: PoolRequest, outcome: str, took: float) -> None:
-        """Count one request by its outcome."""
+    def count_request(
+        self, pool_request: PoolRequest, outcome: str, duration_s: float
+    ) -> None:
+        """Record a request's outcome, duration and retries in the metrics."""
         metrics = self.process.metrics
-        metrics.count("requests", workspace=job.workspace, outcome=outcome)
-        metrics.record_duration("request_duration", took, workspace=job.workspace)
-        if job.attempts > 1:
-            metrics.count("retries", job.attempts - 1, workspace=job.workspace)
+        metrics.count("requests", workspace=pool_request.workspace, outcome=outcome)
+        metrics.record_duration(
+            "request_duration", duration_s, workspace=pool_request.workspace
+        )
+        if pool_request.attempts > 1:
+            metrics.count(
+                "retries", pool_request.attempts - 1, workspace=pool_request.workspace
+            )
 
     def make_request(
         self, request: Request, workspace: str, rest: str, parameters: Parameters
     ) -> PoolRequest | Response:
-        """Return what a request asks for, or why it cannot be served."""
+        """Convert an HTTP request to a pool request; return an error if it is invalid."""
         if rest.startswith("/services/"):
             service, _, path = rest.removeprefix("/services/").partition("/")
             pool, path = parameters.services.get(service), f"/{path}"
@@ -123,19 +139,19 @@
             repeatable = self.is_repeatable(request, path, parameters)
         elif rest in MODEL_PATHS and parameters.model_pool:
             if request.method != "POST":
-                return problem_response(405, "not run", f"{rest} takes POST")
+                return problem_response(
+                    405, "not run", f"{rest} accepts only POST, not {request.method}"
+                )
             pool, path = parameters.model_pool, rest
             repeatable = request.header(UNREPEATABLE_HEADER) != "?1"
         else:
-            return problem_response(
-                404, "not run", f"{workspace} has nothing at {rest}"
-            )
+            return problem_response(404, "not run", f"{workspace} has no path {rest}")
         if len(request.header(KEY_HEADER)) > MAX_KEY_LENGTH:
             detail = f"the Idempotency-Key exceeds {MAX_KEY_LENGTH} characters"
             return problem_response(400, "not run", detail)
         target = f"{path}?{request.query}" if request.query else path
-        found = URGENCY_PARAMETER.search(request.header("priority"))
-        urgency = int(found[1]) if found else DEFAULT_URGENCY
+        urgency_match = URGENCY_PARAMETER.search(request.header("priority"))
+        urgency = int(urgency_match[1]) if urgency_match else DEFAULT_URGENCY
         internal = urgency >= INTERNAL_URGENCY
         internal |= matches_route(parameters.internal, request.method, path)
         return PoolRequest(
@@ -157,7 +173,11 @@
     def is_repeatable(
         self, request: Request, path: str, parameters: Parameters
     ) -> bool:
-        """Tell whether a request to a plain service may be sent twice."""
+        """Return whether a request to a plain service may run more than once.
+
+        The caller's header takes precedence over the declared routes, and these over
+        the method.
+        """
         if request.header(UNREPEATABLE_HEADER) == "?1":
             return False
         if matches_route(parameters.unrepeatable, request.method, path):
@@ -167,61 +187,67 @@
         return True
 
     async def run_request(
-        self, request: Request, job: PoolRequest
+        self, request: Request, pool_request: PoolRequest
     ) -> tuple[Response, str]:
-        """Run a job; return the answer and its outcome in one word."""
+        """Dispatch a request; return the response and its outcome for the metrics."""
         key = request.header(KEY_HEADER)
-        if key and not job.repeatable:
-            # It goes on when the caller is gone, so that its key is settled.
-            run = self.process.spawn(self.idempotent_runner.run_once(key, job))
+        if key and not pool_request.repeatable:
+            # It continues if the caller disconnects, so that the key's outcome is stored.
+            run = self.process.spawn(self.idempotent_runner.run_once(key, pool_request))
             result = await asyncio.shield(run)
         else:
-            result = await self.dispatcher.send(job)
+            result = await self.dispatcher.send(pool_request)
         if isinstance(result, KeyMismatch):
-            detail = "this Idempotency-Key came before with another request"
+            detail = "this Idempotency-Key was used before with another request"
             return problem_response(422, "not run", detail), "mismatch"
         if isinstance(result, NotRun):
             seconds = result.retry_after / datetime.timedelta(seconds=1)
             detail = result.reason
-            members = {"retry_after": seconds, "attempts": job.attempts}
+            members = {"retry_after": seconds, "attempts": pool_request.attempts}
             return problem_response(503, "not run", detail, **members), "not run"
         if isinstance(result, Unknown):
-            members = {"attempts": job.attempts}
+            members = {"attempts": pool_request.attempts}
             return problem_response(504, "unknown", result.reason, **members), "unknown"
         if isinstance(result, ReplayedAnswer):
-            response = self.complete_response(result.whole, job)
+            response = self.complete_response(result.whole, pool_request)
             response.headers.append(("idempotency-replayed", "true"))
             return response, "replayed"
         if isinstance(result, CompleteAnswer):
-            return self.complete_response(result, job), "answered"
-        return self.streamed_response(result, job), "streamed"
+            return self.complete_response(result, pool_request), "answered"
+        return self.streamed_response(result, pool_request), "streamed"
 
     def common_headers(
-        self, head, backend: str, job: PoolRequest
+        self, head, backend: str, pool_request: PoolRequest
     ) -> list[tuple[str, str]]:
-        """Return the header fields of an answer."""
+        """Return the header fields that complete and streamed answers share."""
         headers = [(h.name.decode("latin-1"), h.value.decode("latin-1")) for h in head]
         headers.append(("gypsumshift-outcome", "answered"))
         headers.append(("gypsumshift-backend", backend))
-        headers.append(("gypsumshift-attempts", str(job.attempts)))
+        headers.append(("gypsumshift-attempts", str(pool_request.attempts)))
         return headers
 
-    def complete_response(self, whole: CompleteAnswer, job: PoolRequest) -> Response:
-        """Return a whole answer."""
-        headers = self.common_headers(whole.head.headers, whole.backend, job)
+    def complete_response(
+        self, whole: CompleteAnswer, pool_request: PoolRequest
+    ) -> Response:
+        """Convert a complete answer to a response."""
+        headers = self.common_headers(whole.head.headers, whole.backend, pool_request)
         headers += version_headers(whole.spans)
         return Response(whole.head.status, headers, whole.body)
 
-    def streamed_response(self, streamed: StreamedAnswer, job: PoolRequest) -> Response:
-        """Return a streamed answer, with its weight versions as a trailer."""
-        headers = self.common_headers(streamed.head.headers, streamed.backend, job)
+    def streamed_response(
+        self, streamed: StreamedAnswer, pool_request: PoolRequest
+    ) -> Response:
+        """Convert a streamed answer to a response, with weight versions as a trailer."""
+        headers = self.common_headers(
+            streamed.head.headers, streamed.backend, pool_request
+        )
         headers.append(("trailer", "gypsumshift-weight-versions"))
         body = self.relay_chunks(streamed)
         trailers = lambda: version_headers(streamed.spans)
         return Response(streamed.head.status, headers, body, trailers)
 
     async def relay_chunks(self, streamed: StreamedAnswer):
-        """Yield a stream's chunks; a broken one cuts the caller's connection."""
+        """Yield a stream's chunks; if it breaks, abort the caller's connection."""
         try:
             async for data in streamed.chunks:
                 yield data
@@ -232,7 +258,7 @@
 
 
 def version_headers(spans) -> list[tuple[str, str]]:
-    """Return the header field that names the weight versions of an answer."""
+    """Return the header field with the weight versions of an answer, if any."""
     versions = dict.fromkeys(str(span.version) for span in spans)
     if not versions:
         return []
@@ -240,12 +266,12 @@
 
 
 def request_timeout(request: Request, parameters: Parameters) -> float:
-    """Return the seconds for a request: the caller's (RFC 7240), up to the declared."""
-    found = WAIT_PREFERENCE.search(request.header("prefer"))
-    return min(float(found[1]), parameters.timeout) if found else parameters.timeout
+    """Return the seconds for a request: the caller's choice, up to the declared limit."""
+    match = WAIT_PREFERENCE.search(request.header("prefer"))
+    return min(float(match[1]), parameters.timeout) if match else parameters.timeout
 
 
 def request_affinity(request: Request) -> str:
-    """Return the text that requests with the same prompt prefix share."""
+    """Return the affinity of a request: the quoted first bytes of its body."""
     text = request.body[:AFFINITY_PREFIX_BYTES].decode("utf-8", "replace")
     return urllib.parse.quote(text)
--- a/gypsumshift/dispatch.py
+++ b/gypsumshift/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: an entry brings one request to a backend server, whichever will do."""
+"""Dispatch of an entry's requests to the backend servers of a pool, with retries."""
 
 import asyncio
 import contextlib
@@ -38,20 +38,23 @@
 
 __all__ = ["Dispatcher", "PoolRequest", "last_mark", "not_run_outcome"]
 
+# Tries of a request, besides those that a sidecar refuses rather than let it wait.
 MAX_TRIES = 4
 MAX_NO_WAIT_TRIES = 2
+# Share of the remaining time that a sidecar gets, so that it gives up before the entry.
 SIDECAR_TIMEOUT_SHARE = 0.95
 BAR_TIMEOUT_S = 0.5
 MAX_BAR_TRIES = 3
 BAR_RETRY_PAUSE_S = 0.1
+# Pause between requests for the state of an attempt that still runs.
 STATE_POLL_PERIOD_S = 0.1
-# Seconds between two looks at what the guard may forget.
+# Pause between removals of expired records from the crash guard.
 SWEEP_PERIOD_S = 10.0
 
 
 @attrs.define
 class PoolRequest:
-    """One request to bring to a pool.
+    """Request to be answered by a backend server of a pool, and its state so far.
 
     Attributes
     ----------
@@ -63,23 +66,26 @@
         By the monotonic clock, in seconds.
     request_class : RequestClass
     repeatable : bool
+        Whether the request may run more than once.
     oldest_version : int
-        Least weight version that will do.
+        Lowest weight version that may answer.
     urgency, share : int
+        Urgency within the workspace, and weight of the workspace.
     affinity : str
-        Requests with the same text profit from the same backend server.
+        Requests with the same text are faster on the same backend server.
     avoid : set of str
-        Sidecars already tried.
+        Names of the sidecars already tried.
     attempts : int
-        How many were sent so far.
+        Number of attempts that were sent and not refused.
     busy : set of str
-        Sidecars that seemed to have a place, but had none.
+        Names of the sidecars that seemed to have a free slot, but had none.
     no_wait : bool
-        Whether the next attempt shall be refused where it would have to wait.
+        Whether the next attempt is to be refused if it would have to wait.
     fresh_key : bool
-        Whether the caller vouches that its key was never sent before.
+        Whether the caller guarantees that its key was never sent before.
     identity : str
-        What is the same each time that it comes, where its body is not.
+        Text that stays the same when the request is sent again, for requests whose
+        body does not; empty for the others.
     """
 
     workspace: str
@@ -104,13 +110,13 @@
 
     @property
     def fingerprint(self) -> str:
-        """What is the same each time that it comes; see `serving.fingerprints`."""
-        what = self.identity.encode() if self.identity else self.body
-        return fingerprint(self.method, self.pool, self.target, self.workspace, what)
+        """Fingerprint that repetitions share; see `serving.fingerprints`."""
+        content = self.identity.encode() if self.identity else self.body
+        return fingerprint(self.method, self.pool, self.target, self.workspace, content)
 
 
 class Dispatcher:
-    """Sends the requests of one entry, tracking what it sees of the sidecars.
+    """Sends the requests of one entry to sidecars, and retries failed ones.
 
     Parameters
     ----------
@@ -119,9 +125,14 @@
 
     Attributes
     ----------
+    routers : dict of str to Router
+        By pool.
+    budgets : dict of str to RetryBudget
+        By workspace.
     guard : CrashGuard
-        Holds back what ends backend servers. It goes by what this entry saw: its table
-        is its own, since this deployment's tables have no feed to be told by.
+        Holds back requests that end backend servers. It uses a table in this entry's
+        memory and so counts only the crashes seen here, since the tables of this
+        deployment have no change feed.
     """
 
     def __init__(self, process: Process):
@@ -134,29 +145,29 @@
         )
 
     async def run(self) -> None:
-        """Keep the guard's table until cancelled."""
+        """Run the crash guard and its table until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.guard.table.watch.run())
             group.create_task(self.guard.run())
             group.create_task(self.run_sweep_loop())
 
     async def run_sweep_loop(self) -> None:
-        """Forget what is too old, now and then."""
+        """Remove expired records from the crash guard periodically until cancelled."""
         while True:
             await self.clock.sleep(SWEEP_PERIOD_S)
             self.guard.sweep()
 
     def router(self, pool: str) -> Router:
-        """Return the router of a pool, as declared now."""
+        """Return the router of a pool, of the kind declared now."""
         declared = self.process.active_revision.catalog.pools.get(pool)
         kind = declared.routing if declared else "load"
         if type(self.routers.get(pool)) is not ROUTERS[kind]:
-            view, chance = self.process.membership, self.process.random
-            self.routers[pool] = ROUTERS[kind](pool, view, self.clock, chance)
+            membership, chance = self.process.membership, self.process.random
+            self.routers[pool] = ROUTERS[kind](pool, membership, self.clock, chance)
         return self.routers[pool]
 
     def budget(self, workspace: str) -> RetryBudget:
-        """Return the retry budget of a workspace, as declared now."""
+        """Return the retry budget of a workspace, with the values declared now."""
         declared = self.process.active_revision.catalog.workspaces.get(workspace)
         ratio = declared.retry_ratio if declared else 0.1
         burst = declared.retry_burst if declared else 10
@@ -167,7 +178,7 @@
     async def send(
         self, request: PoolRequest
     ) -> CompleteAnswer | StreamedAnswer | NotRun | Unknown:
-        """Try backend servers until one answers, unless servers end under it."""
+        """Send a request to a pool, unless the crash guard holds it back."""
         permit = await self.guard.admit(request.fingerprint, request.workspace)
         if isinstance(permit, HeldBack):
             return permit
@@ -182,7 +193,7 @@
     async def try_sidecars(
         self, request: PoolRequest, permit: Permit
     ) -> CompleteAnswer | StreamedAnswer | NotRun | Unknown:
-        """Try backend servers until one answers, or nothing is left to try."""
+        """Try sidecars until one answers or the limits of tries or time are reached."""
         router, budget = self.router(request.pool), self.budget(request.workspace)
         budget.record_request()
         refusal = Refusal(f"no backend server of {request.pool} is known here", 1.0)
@@ -202,7 +213,9 @@
                 if not request.repeatable:
                     result = await self.resolve_lost_attempt(request, sidecar, result)
                 elif not budget.try_spend():
-                    return Unknown(f"{result.reason}; no retry is left")
+                    return Unknown(
+                        f"{result.reason}; retry budget of {request.workspace} used up"
+                    )
             if isinstance(result, Refusal):
                 refusal = result
                 if result.busy:
@@ -211,11 +224,11 @@
                 lost = result
             else:
                 return self.report_to_guard(result, permit, sidecar)
-        # One attempt that may have run makes the whole unknown, whatever came after.
+        # If any attempt may have run, the outcome is unknown, whatever followed it.
         return Unknown(lost.reason) if lost else not_run_outcome(refusal)
 
     def report_to_guard(self, result, permit: Permit, sidecar: Peer):
-        """Have the guard learn from an answer, or from the end of a stream."""
+        """Report an answer to the crash guard, a stream once it has ended."""
         if isinstance(result, CompleteAnswer):
             self.guard.record_answer(permit, result.head.status)
         if isinstance(result, StreamedAnswer):
@@ -225,7 +238,7 @@
     async def guarded_chunks(
         self, chunks, result: StreamedAnswer, permit: Permit, sidecar: Peer
     ):
-        """Yield the chunks of a stream, and have the guard learn how it ended."""
+        """Yield the chunks of a stream, and report to the crash guard how it ended."""
         try:
             async with contextlib.aclosing(chunks):
                 async for data in chunks:
@@ -239,19 +252,20 @@
             self.guard.release_permit(permit, ran=True)
 
     def next_sidecar(self, request: PoolRequest, router: Router) -> Peer | None:
-        """Return the sidecar to try next.
+        """Return the sidecar to try next; None if there is none left.
 
-        The first ones are asked to refuse rather than have the request wait, where
-        they seem to have a place; then it waits where the wait seems shortest.
+        If a sidecar seems to have a free slot, it is asked to refuse the request rather
+        than let it wait. After `MAX_NO_WAIT_TRIES` such refusals the request waits
+        where the wait seems shortest.
         """
         sidecar = None
         if len(request.busy) < MAX_NO_WAIT_TRIES:
             sidecar = router.choose_sidecar(
                 request.avoid, request.affinity, request.request_class
             )
-            kind = request.request_class
+            request_class = request.request_class
             request.no_wait = sidecar is not None and router.has_free_slot(
-                sidecar, kind
+                sidecar, request_class
             )
         if sidecar is None and request.busy:
             request.avoid -= request.busy
@@ -264,32 +278,35 @@
         return sidecar
 
     async def run_attempt(self, request: PoolRequest, sidecar: Peer, attempt: str):
-        """Send one attempt to one sidecar and take its answer.
+        """Send one attempt to a sidecar, count it unless refused, return its result.
 
         Returns
         -------
-        Whole, Streamed, Refusal, Lost or Unknown
+        CompleteAnswer, StreamedAnswer, Refusal, LostAttempt or Unknown
         """
         result = await self.send_attempt(request, sidecar, attempt)
         request.attempts += not isinstance(result, Refusal)
         return result
 
     async def send_attempt(self, request: PoolRequest, sidecar: Peer, attempt: str):
-        """Send one attempt to one sidecar and take its answer."""
+        """Send one attempt to a sidecar and return its result.
+
+        An attempt that times out or is cancelled here is cancelled at the sidecar.
+        """
         router = self.router(request.pool)
-        link = self.process.connection(sidecar.address)
+        connection = self.process.connection(sidecar.address)
         began = self.clock.monotonic()
         router.record_sent(sidecar)
-        handed_on = False
+        streaming = False
         try:
             async with asyncio.timeout(request.deadline - began):
                 start = self.start_message(request, sidecar, attempt)
-                exchange = await link.start_call(Body(start=start))
-                answer = AnswerReader(
-                    router, self.clock, sidecar, attempt, link, exchange
+                call = await connection.start_call(Body(start=start))
+                reader = AnswerReader(
+                    router, self.clock, sidecar, attempt, connection, call
                 )
-                result = await answer.read(began)
-                handed_on = isinstance(result, StreamedAnswer)
+                result = await reader.read(began)
+                streaming = isinstance(result, StreamedAnswer)
                 return result
         except PeerConnectionError as error:
             router.record_failure(sidecar)
@@ -297,17 +314,17 @@
                 return Refusal(str(error), 0.2)
             return LostAttempt(str(error), attempt)
         except TimeoutError:
-            link.send_oneway(Body(cancel=Cancel(attempt)))
-            return LostAttempt("no answer in time", attempt)
+            connection.send_oneway(Body(cancel=Cancel(attempt)))
+            return LostAttempt("no answer before the deadline", attempt)
         except asyncio.CancelledError:
-            link.send_oneway(Body(cancel=Cancel(attempt)))
+            connection.send_oneway(Body(cancel=Cancel(attempt)))
             raise
         finally:
-            if not handed_on:
+            if not streaming:
                 router.record_ended(sidecar)
 
     def start_message(self, request: PoolRequest, sidecar: Peer, attempt: str) -> Start:
-        """Return the order that starts an attempt."""
+        """Return the message that starts an attempt."""
         remaining = request.deadline - self.clock.monotonic()
         fields = end_to_end_headers(
             (name.encode("latin-1"), value.encode("latin-1"))
@@ -333,7 +350,12 @@
     async def resolve_lost_attempt(
         self, request: PoolRequest, sidecar: Peer, lost: LostAttempt
     ):
-        """Learn from the sidecar what became of an attempt that is not repeatable."""
+        """Request the outcome of an unrepeatable attempt from its sidecar.
+
+        Returns
+        -------
+        CompleteAnswer, Refusal if it has not run and never will, or Unknown
+        """
         reply = await self.await_final_state(
             sidecar.address, sidecar.member.incarnation, lost.attempt, request.deadline
         )
@@ -346,7 +368,10 @@
     async def await_final_state(
         self, address, incarnation: int, attempt: str, deadline: float
     ) -> BarReply:
-        """Bar an attempt, or wait for its end where it runs already."""
+        """Bar an attempt; if it already runs, poll until it ends or the deadline.
+
+        An attempt that is barred can never start.
+        """
         while True:
             reply = await self.request_bar(address, incarnation, attempt)
             if reply.state != AttemptState.RUNNING:
@@ -356,12 +381,15 @@
             await self.clock.sleep(STATE_POLL_PERIOD_S)
 
     async def request_bar(self, address, incarnation: int, attempt: str) -> BarReply:
-        """Bar an attempt where it never started; unknown where nobody answers."""
-        question = Body(bar=Bar(attempt, incarnation))
+        """Request that a sidecar bar an attempt; return the attempt's state.
+
+        The state is unknown if the sidecar does not answer after several tries.
+        """
+        message = Body(bar=Bar(attempt, incarnation))
         for _ in range(MAX_BAR_TRIES):
             try:
                 answer = await self.process.connection(address).call(
-                    question, BAR_TIMEOUT_S
+                    message, BAR_TIMEOUT_S
                 )
                 if answer.bar_reply is not None:
                     return answer.bar_reply
@@ -371,16 +399,16 @@
 
 
 def backend_start(sidecar: Peer) -> ServerStart:
-    """Return the backend server beside a sidecar, which tells no start of it."""
+    """Identify a sidecar's backend server; its start time is not reported, so 0."""
     return ServerStart(sidecar.member.backend, 0)
 
 
 def last_mark(sidecar: Peer) -> int:
-    """Return the mark last heard from a sidecar."""
+    """Return the mark in a sidecar's last load report; see `attempts`."""
     return sidecar.load.mark if sidecar.load else 0
 
 
 def not_run_outcome(refusal: Refusal) -> NotRun:
-    """Return a refusal as the caller's outcome."""
+    """Convert a refusal to the caller's outcome."""
     wait = datetime.timedelta(seconds=refusal.retry_after)
     return NotRun(refusal.reason, wait)
--- a/gypsumshift/entry.py
+++ b/gypsumshift/entry.py
@@ -68,7 +68,7 @@
         self.member.leaving = True
         self.recorder.note("leaving", self.member.name)
         log.info(
-            "Draining: accepts no new requests and finishes those that run within {} s.",
+            "Draining: accepts no new requests, finishes those that run within {} s.",
             deadline,
         )
         self.heartbeats.wake.set()
--- a/gypsumshift/sidecar.py
+++ b/gypsumshift/sidecar.py
@@ -93,7 +93,7 @@
         return [peer.address for peer in entries[:HEARTBEAT_ENTRIES]]
 
     def polls_hosts(self):
-        """Return whether to read the platform's host list: only if no entry is known."""
+        """Return whether to read the platform's host list: if no entry is known."""
         return not self.membership.entries()
 
     def load_report(self) -> messages.Load:
