--- a/gypsumshift/callerapi.py
+++ b/gypsumshift/callerapi.py
@@ -18,6 +18,7 @@
 __all__ = ["CallerApi"]
 
 MODEL_PATHS = ("/v1/completions", "/v1/chat/completions")
+# Methods that are not idempotent (RFC 9110).
 UNREPEATABLE_METHODS = ("POST", "PATCH")
 UNREPEATABLE_HEADER = "gypsumshift-unrepeatable"
 KEY_HEADER = "idempotency-key"
@@ -97,7 +98,9 @@
         if isinstance(pool_request, Response):
             return pool_request
         if self.waiting_by_workspace.get(workspace, 0) >= parameters.waiting:
-            detail = f"{workspace} has reached its limit of {parameters.waiting} waiting requests"
+            detail = (
+                f"{workspace} is at its limit of {parameters.waiting} requests here"
+            )
             return problem_response(429, "not run", detail, retry_after=1.0)
         self.waiting_by_workspace[workspace] = (
             self.waiting_by_workspace.get(workspace, 0) + 1
@@ -128,7 +131,7 @@
     def make_request(
         self, request: Request, workspace: str, rest: str, parameters: Parameters
     ) -> PoolRequest | Response:
-        """Convert an HTTP request to a pool request; return an error if it is invalid."""
+        """Convert an HTTP request to a pool request; if invalid, return an error."""
         if rest.startswith("/services/"):
             service, _, path = rest.removeprefix("/services/").partition("/")
             pool, path = parameters.services.get(service), f"/{path}"
@@ -192,7 +195,7 @@
         """Dispatch a request; return the response and its outcome for the metrics."""
         key = request.header(KEY_HEADER)
         if key and not pool_request.repeatable:
-            # It continues if the caller disconnects, so that the key's outcome is stored.
+            # It continues if the caller disconnects, so that the outcome is stored.
             run = self.process.spawn(self.idempotent_runner.run_once(key, pool_request))
             result = await asyncio.shield(run)
         else:
@@ -227,17 +230,17 @@
         return headers
 
     def complete_response(
-        self, whole: CompleteAnswer, pool_request: PoolRequest
+        self, answer: CompleteAnswer, pool_request: PoolRequest
     ) -> Response:
         """Convert a complete answer to a response."""
-        headers = self.common_headers(whole.head.headers, whole.backend, pool_request)
-        headers += version_headers(whole.spans)
-        return Response(whole.head.status, headers, whole.body)
+        headers = self.common_headers(answer.head.headers, answer.backend, pool_request)
+        headers += version_headers(answer.spans)
+        return Response(answer.head.status, headers, answer.body)
 
     def streamed_response(
         self, streamed: StreamedAnswer, pool_request: PoolRequest
     ) -> Response:
-        """Convert a streamed answer to a response, with weight versions as a trailer."""
+        """Convert a streamed answer to a response with weight versions as a trailer."""
         headers = self.common_headers(
             streamed.head.headers, streamed.backend, pool_request
         )
@@ -266,7 +269,7 @@
 
 
 def request_timeout(request: Request, parameters: Parameters) -> float:
-    """Return the seconds for a request: the caller's choice, up to the declared limit."""
+    """Return the seconds for a request: the caller's, up to the declared limit."""
     match = WAIT_PREFERENCE.search(request.header("prefer"))
     return min(float(match[1]), parameters.timeout) if match else parameters.timeout
 
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Bad input to every port: a refusal or a closed connection, and serving on."""
+"""Bad input to every port is refused or closes its connection, and nothing else."""
 
 import asyncio
 import json
@@ -40,7 +40,7 @@
 
 
 async def send_raw(address, data, end=False):
-    """Send bytes and return all that comes back until the connection closes."""
+    """Send bytes and return everything received until the connection closes."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(data)
     if end:
@@ -53,7 +53,7 @@
         writer.close()
 
 
-HTTP_GARBAGE = {
+INVALID_HTTP = {
     "garbage": (b"\x00\xff\x13garbage\r\n\r\n" * 4, 400),
     "not http": (b"SSH-2.0-OpenSSH_9.2\r\n\r\n", 400),
     "oversized header": (
@@ -68,9 +68,9 @@
 }
 
 
-@pytest.mark.parametrize("case", HTTP_GARBAGE)
-def test_http_garbage_is_refused_and_the_process_serves_on(case):
-    data, status = HTTP_GARBAGE[case]
+@pytest.mark.parametrize("case", INVALID_HTTP)
+def test_an_invalid_http_request_is_refused_and_others_are_served(case):
+    data, status = INVALID_HTTP[case]
 
     async def work(entry):
         for address in (entry.caller_address, entry.operator_address):
@@ -82,7 +82,7 @@
     run_with_entry(work)
 
 
-def test_an_oversized_body_is_refused_before_it_is_held():
+def test_an_oversized_body_is_refused_before_it_is_buffered():
     async def work(entry):
         head = (
             b"POST /w/v1/completions HTTP/1.1\r\nhost: a\r\n"
@@ -97,7 +97,7 @@
     run_with_entry(work)
 
 
-def test_a_truncated_body_gets_no_answer_and_runs_nothing():
+def test_a_truncated_body_is_not_accepted_and_stores_nothing():
     async def work(entry):
         data = (
             b"POST /w/trainers/tr/groups HTTP/1.1\r\nhost: a\r\n"
@@ -111,7 +111,7 @@
     run_with_entry(work)
 
 
-def test_a_slow_sender_is_cut(monkeypatch):
+def test_a_connection_with_an_unfinished_request_is_closed_when_idle(monkeypatch):
     monkeypatch.setattr("gypsumshift.httpserver.IDLE_TIMEOUT_S", 0.05)
 
     async def work(entry):
@@ -122,7 +122,7 @@
     run_with_entry(work)
 
 
-PEER_GARBAGE = {
+INVALID_FRAMES = {
     "http": b"GET / HTTP/1.1\r\n\r\n",
     "too long": LENGTH_PREFIX.pack(MAX_FRAME_BYTES + 1) + b"x" * 100,
     "not thrift": LENGTH_PREFIX.pack(8) + b"\xff" * 8,
@@ -131,11 +131,11 @@
 }
 
 
-@pytest.mark.parametrize("case", PEER_GARBAGE)
-def test_the_peer_port_closes_on_what_is_no_frame(case):
+@pytest.mark.parametrize("case", INVALID_FRAMES)
+def test_the_peer_port_closes_a_connection_that_sends_an_invalid_frame(case):
     async def work(entry):
         address = ("127.0.0.1", entry.member.port)
-        assert await send_raw(address, PEER_GARBAGE[case], end=True) == b""
+        assert await send_raw(address, INVALID_FRAMES[case], end=True) == b""
         health = await Fetcher().fetch(entry.caller_address, "GET", "/health")
         assert health.status == 200
 
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("case", INCOMPLETE)
-def test_a_frame_that_lacks_parts_ends_its_link_and_nothing_else(case):
+def test_an_incomplete_frame_closes_its_connection_and_changes_nothing(case):
     async def work(entry):
         data = encode_frame(Frame(1, INCOMPLETE[case], 0, 0))
         address = ("127.0.0.1", entry.member.port)
@@ -164,7 +164,7 @@
     run_with_entry(work)
 
 
-def test_an_error_inside_a_handler_ends_that_request_only():
+def test_an_error_in_a_handler_fails_that_request_only():
     async def work(entry):
         entry.trainer_api.show_state = None
         answer = await Fetcher().fetch(entry.caller_address, "GET", "/w/trainers/tr")
@@ -229,7 +229,7 @@
     run_with_entry(work)
 
 
-def test_operators_need_the_token_where_one_is_set(tmp_path):
+def test_operator_requests_need_the_token_if_one_is_set(tmp_path):
     path = tmp_path / "token"
     path.write_text("secret\n")
 
@@ -246,7 +246,7 @@
 
 
 async def closes_at_once(server, close):
-    """Tell whether a connection ends whose server closes before it is served."""
+    """Return whether a connection closes whose server closed while accepting it."""
 
     def accept(reader, writer):
         server.accept(reader, writer)
@@ -262,7 +262,7 @@
         listener.close()
 
 
-def test_a_connection_accepted_while_a_port_closes_is_cut(monkeypatch):
+def test_a_connection_accepted_while_a_port_closes_is_closed(monkeypatch):
     monkeypatch.setattr("gypsumshift.peerconnection.FIRST_FRAME_TIMEOUT_S", 3600.0)
 
     async def work(entry):
