--- a/gypsumshift/entry.py
+++ b/gypsumshift/entry.py
@@ -134,7 +134,7 @@
                 404, "not run", f"there is no workspace {workspace!r}"
             )
         if not has_workspace_key(request, workspace, self.active_revision.catalog.keys):
-            return unauthorized(f"{workspace} takes requests with one of its keys")
+            return unauthorized(f"requests to {workspace} need one of its keys")
         if rest.startswith("trainers/"):
             rest = rest.removeprefix("trainers/")
             return await self.trainer_api.handle_request(request, workspace, rest)
@@ -147,21 +147,21 @@
 
     def read_gauges(self):
         """Return the gauges that `status` and the metrics page show, by name."""
-        figures = super().read_gauges()
-        figures["waiting"] = sum(self.caller_api.waiting_by_workspace.values())
-        figures["caller_connections"] = len(self.caller_server.connections)
+        gauges = super().read_gauges()
+        gauges["waiting"] = sum(self.caller_api.waiting_by_workspace.values())
+        gauges["caller_connections"] = len(self.caller_server.connections)
         for pool, router in self.dispatcher.routers.items():
-            figures[f"ejected.{pool}"] = router.count_ejected()
+            gauges[f"ejected.{pool}"] = router.count_ejected()
         for name, budget in self.dispatcher.budgets.items():
-            figures[f"retry_budget.{name}"] = round(budget.tokens, 2)
+            gauges[f"retry_budget.{name}"] = round(budget.tokens, 2)
         for name, driver in self.driver_manager.drivers.items():
-            figures[f"drives.{name}"] = int(driver.lease.held)
-            figures[f"groups_running.{name}"] = len(driver.running)
-            figures[f"groups_ready.{name}"] = driver.ready_count
-            figures[f"stragglers_moved.{name}"] = driver.sampler.migrated
+            gauges[f"drives.{name}"] = int(driver.lease.held)
+            gauges[f"groups_running.{name}"] = len(driver.running)
+            gauges[f"groups_ready.{name}"] = driver.ready_count
+            gauges[f"stragglers_moved.{name}"] = driver.sampler.migrated
         for name, idle in self.trainer_api.idle_seconds.items():
-            figures[f"idle_seconds.{name}"] = round(idle, 4)
-            figures[f"staleness.{name}"] = round(
+            gauges[f"idle_seconds.{name}"] = round(idle, 4)
+            gauges[f"staleness.{name}"] = round(
                 self.trainer_api.mean_staleness[name], 3
             )
-        return figures
+        return gauges
--- a/gypsumshift/peerconnection.py
+++ b/gypsumshift/peerconnection.py
@@ -51,8 +51,8 @@
         Exchange number on the connection; answers carry the same one.
     """
 
-    def __init__(self, link: "PeerConnection", number: int):
-        self.connection = link
+    def __init__(self, connection: "PeerConnection", number: int):
+        self.connection = connection
         self.number = number
         self.inbox: asyncio.Queue[Body | None] = asyncio.Queue(MAX_INBOX_MESSAGES)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -272,7 +272,7 @@
     membership.merge_member(builders.member("sidecar-a"))
     membership.merge_member(builders.member("sidecar-b"))
     membership.record_call("sidecar-a")
-    assert [known.member.name for known in membership.recent_callers()] == ["sidecar-a"]
+    assert [peer.member.name for peer in membership.recent_callers()] == ["sidecar-a"]
     clock.advance(60)
     assert not membership.recent_callers()
 
