--- a/gypsumshift/entry.py
+++ b/gypsumshift/entry.py
@@ -66,7 +66,7 @@
         if self.member.leaving:
             return
         self.member.leaving = True
-        self.recorder.note("leaving", self.member.name)
+        self.recorder.record("leaving", self.member.name)
         log.info(
             "Draining: accepts no new requests, finishes those that run within {} s.",
             deadline,
--- a/gypsumshift/frames.py
+++ b/gypsumshift/frames.py
@@ -90,7 +90,7 @@
     ----------
     reader : asyncio.StreamReader
     writer : asyncio.StreamWriter
-    recorder : Recorder
+    recorder : EventRecorder
         Timestamps the frames sent, advances its clock by those received, and counts
         the bytes of both.
     """
--- a/gypsumshift/peerconnection.py
+++ b/gypsumshift/peerconnection.py
@@ -75,7 +75,7 @@
     ----------
     address : (str, int)
         IP address and port.
-    recorder : Recorder
+    recorder : EventRecorder
 
     Attributes
     ----------
@@ -222,10 +222,10 @@
         for long, since it delays the next message of the connection.
     on_session_end : callable
         ``on_session_end(session)``, called when a connection has closed.
-    recorder : Recorder
+    recorder : EventRecorder
     """
 
-    def __init__(self, handler, on_session_end, recorder: Recorder):
+    def __init__(self, handler, on_session_end, recorder: EventRecorder):
         self.handler = handler
         self.on_session_end = on_session_end
         self.recorder = recorder
--- a/gypsumshift/sidecar.py
+++ b/gypsumshift/sidecar.py
@@ -142,7 +142,7 @@
         """Accept no new requests from now on, and send heartbeats about it at once."""
         if not self.member.leaving:
             self.member.leaving = True
-            self.recorder.note("leaving", self.settings.backend, reason)
+            self.recorder.record("leaving", self.settings.backend, reason)
             log.info("Leaving, accepts no new requests: {}.", reason)
             self.heartbeats.wake.set()
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -42,7 +42,7 @@
     async def work(sys):
         assert await apply(sys, 1, 3.0) == 200
         sys.tables.down = True
-        await until(lambda: active_everywhere(sys, 2))
+        await wait_until(lambda: active_everywhere(sys, 2))
         timeouts = {
             e.active_revision.catalog.workspaces["w"].timeout for e in sys.entries
         }
@@ -57,7 +57,7 @@
             apply(sys, 1, 3.0, entry=0), apply(sys, 1, 4.0, entry=1)
         )
         assert sorted(statuses) == [200, 409]
-        await until(lambda: active_everywhere(sys, 2))
+        await wait_until(lambda: active_everywhere(sys, 2))
         timeouts = {
             e.active_revision.catalog.workspaces["w"].timeout for e in sys.entries
         }
@@ -82,7 +82,7 @@
             sys.replace_sidecar("shop-1"),
             sys.add_entry("entry-9"),
         )
-        await until(lambda: active_everywhere(sys, 2))
+        await wait_until(lambda: active_everywhere(sys, 2))
 
     system.run(work, services=2, entries=2)
 
@@ -287,6 +287,6 @@
             process.heartbeat_period = 3600.0
         await wait_until(lambda: len(entry.membership.recent_callers()) == 2)
         assert await apply(sys, 1, 3.0) == 200
-        await until(lambda: active_everywhere(sys, 2))
+        await wait_until(lambda: active_everywhere(sys, 2))
 
     system.run(work)
