--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of what the tests work on."""
+"""Builders and fakes shared by the tests: clock, platform, members and load reports."""
 
 import datetime
 
@@ -10,7 +10,7 @@
 
 
 class ManualClock(Clock):
-    """Clock that stands until it is advanced."""
+    """Clock whose time changes only by `advance` and `sleep`."""
 
     def __init__(self):
         self.seconds = 1000.0
@@ -30,7 +30,11 @@
 
 
 class FaultyTables(memory.MemoryTables):
-    """Tables that are down, or lose the answer of a write after it took effect."""
+    """Tables in memory with faults.
+
+    While ``down``, they are unavailable. The next ``lost_requests`` writes fail with an
+    unknown outcome and no effect, the next ``lost_answers`` writes after their effect.
+    """
 
     def __init__(self):
         super().__init__()
@@ -62,7 +66,7 @@
 
 
 def platform(tables=None):
-    """Return a new platform in memory."""
+    """Return a new platform whose services keep their data in memory."""
     return platforms.Platform(
         tables or memory.MemoryTables(),
         memory.MemoryObjectStore(),
@@ -76,7 +80,7 @@
 
 
 def member(name="sidecar-a", **changes):
-    """Return a sidecar as others know it."""
+    """Return the membership entry of a sidecar."""
     fields = {
         "name": name,
         "incarnation": 1,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,10 +19,10 @@
 
 
 def pytest_collection_modifyitems(items):
-    known_red.mark(items, known_failures())
+    known_red.mark_expected_failures(items, known_failures())
 
 
 def pytest_terminal_summary(terminalreporter):
     terminalreporter.section("known red")
-    for line in known_red.report(known_failures()) or ["none"]:
+    for line in known_red.report_lines(known_failures()) or ["none"]:
         terminalreporter.write_line(line)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,7 @@
-"""Known failures: tests of faults that are not mended yet.
+"""Mark tests that fail because of known faults as expected failures.
 
-``KNOWN-RED.txt`` at the root has a line for each: the test, ``|``, the cause, ``|``,
-the issue. Such a test is expected to fail, and one that passes fails the run, so that
-a mended fault is taken off the list.
+``KNOWN-RED.txt`` at the root has a line for each of them, "test | cause | issue". A
+listed test that passes fails the run, so that a fixed fault is removed from the list.
 """
 
 import pathlib
@@ -10,7 +9,7 @@
 import attrs
 import pytest
 
-__all__ = ["FILE", "KnownRed", "mark", "parse", "report"]
+__all__ = ["FILE", "KnownRed", "mark_expected_failures", "parse", "report_lines"]
 
 FILE = pathlib.Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
 SEPARATOR = "|"
@@ -33,21 +32,21 @@
 
 
 def parse(text: str) -> list[KnownRed]:
-    """Return the entries of a list; raises ValueError for a line that is none."""
+    """Return the entries of a list; raise ValueError for a malformed line."""
     lines = [line.strip() for line in text.splitlines()]
     return [parse_line(line) for line in lines if line and not line.startswith("#")]
 
 
 def parse_line(line: str) -> KnownRed:
-    """Return the entry of one line."""
+    """Return the entry in a line."""
     fields = [field.strip() for field in line.split(SEPARATOR)]
     if len(fields) != 3 or not all(fields):
-        raise ValueError(f"not a test, a cause and an issue: {line!r}")
+        raise ValueError(f"line is not 'test | cause | issue': {line!r}")
     return KnownRed(*fields)
 
 
-def mark(items: list[pytest.Item], known: list[KnownRed]) -> None:
-    """Expect the listed tests among the collected ones to fail."""
+def mark_expected_failures(items: list[pytest.Item], known: list[KnownRed]) -> None:
+    """Mark the listed tests among the collected ones as expected to fail."""
     by_test = {entry.test: entry for entry in known}
     for item in items:
         entry = by_test.get(item.nodeid)
@@ -56,6 +55,6 @@
             item.add_marker(pytest.mark.xfail(reason=reason, strict=True))
 
 
-def report(known: list[KnownRed]) -> list[str]:
-    """Return the lines that a run prints of the list."""
+def report_lines(known: list[KnownRed]) -> list[str]:
+    """Return a line for each entry, which the summary of a test run prints."""
     return [f"{entry.test}: {entry.cause} (issue {entry.issue})" for entry in known]
--- a/tests/system.py
+++ b/tests/system.py
@@ -1,4 +1,4 @@
-"""A small system inside the test's process: real sockets, a platform in memory."""
+"""A small system within the test process: real sockets, and a platform in memory."""
 
 import asyncio
 import contextlib
@@ -50,7 +50,7 @@
 
 
 async def wait_until(holds, what="the condition"):
-    """Wait until a condition holds; returns its value."""
+    """Wait until a condition holds; return its value."""
     async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not (value := holds()):
             await asyncio.sleep(0.005)
@@ -58,7 +58,12 @@
 
 
 class Relay:
-    """TCP relay that can be cut after some bytes, or altogether."""
+    """TCP relay that cuts its connections after a number of bytes, or for good.
+
+    ``cut_after_sent`` and ``cut_after_received`` are the bytes left in each direction
+    until all connections are cut. While ``refuses``, new connections are aborted;
+    ``refuses_after_cut`` sets it with the next cut.
+    """
 
     def __init__(self, port):
         self.target = port
@@ -99,20 +104,20 @@
         writer.close()
 
     def cut(self):
-        """Cut all connections."""
+        """Abort all connections."""
         for writer in self.writers:
             writer.transport.abort() if not writer.is_closing() else None
         self.writers.clear()
         self.refuses |= self.refuses_after_cut
 
     def kill(self):
-        """Cut all connections, now and later."""
+        """Abort all connections, and refuse new ones."""
         self.refuses = True
         self.cut()
 
 
 class System:
-    """Entries, sidecars and backend servers; a context manager."""
+    """Context manager that runs entries, sidecars and stand-ins for backend servers."""
 
     def __init__(self, source=None, engines=1, services=1, entries=1):
         self.source = source or SOURCE
@@ -144,15 +149,15 @@
             self.services.append(service)
             port = await service.server.listen(HOST, 0)
             await self.add_sidecar(f"shop-{number}", "shop", port)
-        await wait_until(self.has_converged, "everybody knows everybody")
+        await wait_until(self.has_converged, "all entries know all sidecars")
         return self
 
     async def __aexit__(self, *exc_info):
         for task in self.tasks:
             task.cancel()
         await self.stack.aclose()
-        for each in self.engines + self.services:
-            await each.server.stop(0)
+        for backend_server in self.engines + self.services:
+            await backend_server.server.stop(0)
 
     def settings(self, name, role, **fields):
         seeds = [f"{HOST}:{entry.member.port}" for entry in self.entries]
@@ -181,7 +186,7 @@
         return sidecar
 
     async def replace_sidecar(self, backend):
-        """Kill a sidecar and start an empty one at another address."""
+        """Stop a sidecar, and start one without state for its backend server."""
         old = self.sidecars[backend]
         await old.stop()
         port = old.backend.address[1]
@@ -190,7 +195,11 @@
         return new
 
     def has_converged(self):
-        """Tell whether all entries know all sidecars, healthy and at one revision."""
+        """Return whether all sidecars are fenced, at the newest revision and known.
+
+        Known means that each entry has the sidecar's current incarnation and a load
+        report of a healthy backend server.
+        """
         newest = max(entry.active_revision.number for entry in self.entries)
         for sidecar in self.sidecars.values():
             if sidecar.stopped.is_set():
@@ -198,14 +207,14 @@
             if not sidecar.member.fence or sidecar.active_revision.number < newest:
                 return False
             for entry in self.entries:
-                known = entry.membership.peers.get(sidecar.member.name)
-                same = known and known.member.incarnation == sidecar.member.incarnation
-                if not same or not known.load or not known.load.healthy:
+                peer = entry.membership.peers.get(sidecar.member.name)
+                same = peer and peer.member.incarnation == sidecar.member.incarnation
+                if not same or not peer.load or not peer.load.healthy:
                     return False
         return True
 
     def run_counts(self):
-        """Return how often each request ran, over all services."""
+        """Return how often each request ran, counted over all services."""
         total = {}
         for service in self.services:
             for name, count in service.runs.items():
@@ -225,7 +234,7 @@
 
 
 def run(work, **options):
-    """Run a test on a fresh system."""
+    """Run a test's coroutine function on a new system."""
 
     async def with_system():
         async with System(**options) as system:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: exit statuses and clear lines, over a real entry."""
+"""Commands of the command line against a running entry: exit statuses and output."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 
 
 class BackgroundSystem:
-    """A system that runs on a thread of its own, as commands block."""
+    """A system on an event loop in another thread, since commands block theirs."""
 
     def __enter__(self):
         self.loop = asyncio.new_event_loop()
@@ -29,8 +29,8 @@
         self.url = f"http://{HOST}:{port}"
         return self
 
-    def run(self, work):
-        return asyncio.run_coroutine_threadsafe(work, self.loop).result(30)
+    def run(self, coroutine):
+        return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(30)
 
     def __exit__(self, *exc_info):
         self.run(self.system.__aexit__())
@@ -39,7 +39,7 @@
         self.loop.close()
 
     def call(self, *words):
-        """Run one command; return its exit status, output and errors."""
+        """Run a command; return its exit status and its output."""
         result = RUNNER.invoke(app, ["--operator", self.url, *map(str, words)])
         return result.exit_code, result.output
 
@@ -62,12 +62,14 @@
     assert "Traceback" not in result.output and str(path) in result.output
 
 
-def test_check_takes_the_examples():
+def test_check_accepts_the_examples():
     for folder in EXAMPLES.iterdir():
         assert RUNNER.invoke(app, ["check", str(folder)]).exit_code == 0
 
 
-def test_an_operators_day(background, tmp_path):
+def test_changes_are_planned_applied_and_shown_in_history_and_status(
+    background, tmp_path
+):
     call = background.call
     code, output = call("get", "newest", "--json")
     declared = json.loads(output)["declarations"]
@@ -89,7 +91,7 @@
     assert "sidecar-shop-0" in call("status", "--figures")[1]
 
 
-def test_weights_drain_and_time_line(background, tmp_path):
+def test_weights_are_published_and_a_drain_is_in_the_timeline(background, tmp_path):
     call = background.call
     weights = tmp_path / "w"
     weights.write_bytes(b"w")
@@ -108,7 +110,7 @@
     assert "leaving" in call("timeline", "shop-0")[1]
 
 
-def test_nobody_there_exits_1():
+def test_an_entry_that_cannot_be_reached_exits_1():
     result = RUNNER.invoke(app, ["--operator", "http://127.0.0.1:1", "status"])
     assert result.exit_code == 1 and "--operator" in result.output
 
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,3 +1,5 @@
+"""Malformed declarations give one clear line; valid ones resolve their references."""
+
 import pathlib
 
 import pytest
@@ -67,20 +69,20 @@
 
 
 @pytest.mark.parametrize("name", ["teranga-signes", "desarmaderos"])
-def test_the_examples_are_valid(name):
+def test_the_example_declarations_are_valid(name):
     catalog = declarations.load(EXAMPLES / name)
     assert not isinstance(catalog, Invalid)
     assert len(catalog.zones) == 4
 
 
-def test_parameters_come_from_template_chain_then_workspace():
+def test_workspace_parameters_are_merged_from_the_template_chain():
     catalog = declarations.load(EXAMPLES / "teranga-signes")
     assert catalog.workspaces["courts"].share == 20
     assert catalog.workspaces["courts"].timeout == 20.0
     assert catalog.workspaces["courts"].model_pool == "scheduling-model"
 
 
-def test_settings_of_a_sidecar_need_its_backend_server(tmp_path):
+def test_sidecar_settings_without_backend_url_or_known_adapter_are_invalid(tmp_path):
     path = tmp_path / "s.jsonc"
     path.write_text(
         '{"name": "s", "role": "sidecar", "zone": "a", "platform": "nope:x"}'
--- a/tests/test_key_commands.py
+++ b/tests/test_key_commands.py
@@ -1,4 +1,4 @@
-"""Keys of workspaces in the product's own deployment: given, used and taken away."""
+"""Commands that manage keys of workspaces, and requests with and without such keys."""
 
 import asyncio
 import json
@@ -28,7 +28,7 @@
     return result.exit_code, result.stdout, result.stderr
 
 
-def test_a_key_is_shown_once_and_only_its_digest_is_kept(folder):
+def test_add_prints_the_key_and_stores_only_its_digest(folder):
     code, out, _ = call("add", folder, "w", "first")
     assert code == 0
     key = out.strip()
@@ -43,7 +43,7 @@
     assert [one["name"] for one in json.loads(out)] == ["first"]
 
 
-def test_a_key_that_is_taken_away_is_declared_no_more(folder):
+def test_a_removed_key_is_no_longer_declared(folder):
     for name in ("first", "second"):
         assert call("add", folder, "w", name)[0] == 0
     assert call("remove", folder, "first")[0] == 0
@@ -60,7 +60,7 @@
         (("remove", "none"), "no key 'none'"),
     ],
 )
-def test_what_is_wrong_is_one_line_and_changes_nothing(folder, words, what):
+def test_invalid_arguments_print_one_line_and_leave_the_key_file(folder, words, what):
     assert call("add", folder, "w", "kept")[0] == 0
     before = (folder / "keys.json").read_text()
     command, *rest = words
@@ -70,14 +70,14 @@
     assert (folder / "keys.json").read_text() == before
 
 
-def test_a_first_key_that_is_wrong_leaves_no_file(folder):
+def test_an_invalid_first_key_leaves_no_key_file(folder):
     assert call("add", folder, "none", "name")[0] == 2
     assert not (folder / "keys.json").exists()
     code, _, err = call("list", folder / "nowhere")
     assert code == 2 and "there is no folder" in err
 
 
-def test_one_key_cannot_be_two():
+def test_two_keys_with_one_digest_are_invalid():
     key = {"workspace": "w", "digest": "0" * 32}
     value = SOURCE | {"keys": [key | {"name": "a"}, key | {"name": "b"}]}
     outcome = declarations.parse(value, "declarations")
@@ -85,7 +85,7 @@
     assert "the digest is already that of the key 'a'" in str(outcome.problems[0])
 
 
-def test_a_workspace_with_keys_takes_requests_with_one_of_them_only():
+def test_a_workspace_with_keys_rejects_requests_without_one_of_them():
     keys = [
         {"name": name, "workspace": workspace, "digest": key_digest(f"key-{name}")}
         for name, workspace in (("one", "w"), ("two", "v"))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Listed failures are passed over and printed; a mended one must leave the list."""
+"""Known failures are expected and printed; a listed test that passes fails the run."""
 
 import pytest
 
@@ -25,11 +25,11 @@
 from tests import known_red
 
 def pytest_collection_modifyitems(items):
-    known_red.mark(items, known_red.parse({text!r}))
+    known_red.mark_expected_failures(items, known_red.parse({text!r}))
 """
 
 
-def test_only_listed_failures_are_passed_over(pytester):
+def test_a_listed_test_may_fail_but_not_pass(pytester):
     pytester.makepyfile(test_sample=SAMPLE)
     pytester.makeconftest(HOOKS.format(text=LIST))
     outcome = pytester.runpytest("-p", "no:cacheprovider")
@@ -37,12 +37,12 @@
     outcome.stdout.fnmatch_lines(["*FAILED test_sample.py::test_mended*"])
 
 
-def test_each_entry_is_printed_with_its_cause_and_issue():
-    lines = known_red.report(known_red.parse(LIST))
+def test_the_report_has_the_cause_and_issue_of_each_entry():
+    lines = known_red.report_lines(known_red.parse(LIST))
     assert lines[0] == "test_sample.py::test_broken: a result is lost (issue 7)"
 
 
 @pytest.mark.parametrize("line", ["test_a", "test_a | cause", "test_a | | 3"])
-def test_a_line_without_cause_or_issue_is_refused(line):
-    with pytest.raises(ValueError, match="not a test, a cause and an issue"):
+def test_a_line_without_cause_or_issue_raises_an_error(line):
+    with pytest.raises(ValueError, match=r"line is not 'test \| cause \| issue'"):
         known_red.parse(line)
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -6,7 +6,7 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Loop whose time goes on at once to the next thing that waits for it."""
+    """Event loop whose time jumps to the next timer when no callback is ready."""
 
     seconds = 100.0
 
@@ -20,7 +20,7 @@
 
 
 class LoopClock(SystemClock):
-    """Clock of the running loop."""
+    """Clock that shows the time of the running event loop."""
 
     def monotonic(self):
         return asyncio.get_running_loop().time()
@@ -30,6 +30,6 @@
 
 
 def run_in_virtual_time(scenario):
-    """Run a coroutine function in a time of its own."""
+    """Run a coroutine function on a new event loop in virtual time."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(scenario())
