--- a/gypsumshift/operatorapi.py
+++ b/gypsumshift/operatorapi.py
@@ -297,7 +297,7 @@
             if name and name in (peer.member.name, peer.member.backend)
         ]
         if not peers:
-            detail = f"this entry knows no process or backend server {name!r}"
+            detail = f"no known process or backend server is named {name!r}"
             return problem_response(404, "not run", detail)
         for peer in peers:
             if peer.member.role == Role.SIDECAR:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -9,13 +9,13 @@
 LIST = """
 # test | cause | issue
 test_sample.py::test_broken | a result is lost | 7
-test_sample.py::test_mended | a claim is lost | 8
+test_sample.py::test_fixed | a claim is lost | 8
 """
 SAMPLE = """
 def test_broken():
     assert False
 
-def test_mended():
+def test_fixed():
     pass
 
 def test_sound():
@@ -34,7 +34,7 @@
     pytester.makeconftest(HOOKS.format(text=LIST))
     outcome = pytester.runpytest("-p", "no:cacheprovider")
     outcome.assert_outcomes(passed=1, xfailed=1, failed=1)
-    outcome.stdout.fnmatch_lines(["*FAILED test_sample.py::test_mended*"])
+    outcome.stdout.fnmatch_lines(["*FAILED test_sample.py::test_fixed*"])
 
 
 def test_the_report_has_the_cause_and_issue_of_each_entry():
