--- a/bench/change.py
+++ b/bench/change.py
@@ -10,7 +10,7 @@
 from bench.report import Row
 from bench.scenes import ZONES, service_source
 from gypsumshift import declarations
-from standins.deployment import HOST, Deployment, Running, free_port
+from standins.deployment import HOST, Deployment, ManagedProcess, free_port
 
 __all__ = ["change", "cost"]
 
@@ -43,7 +43,7 @@
             self.words.append(f"{role}-x{number},{role},{zone},{free_port()}")
         self.log = pathlib.Path(deployment.folder) / "revisions.jsonl"
         self.log.touch()
-        self.batches: list[Running] = []
+        self.batches: list[ManagedProcess] = []
 
     def start(self) -> None:
         """Start all instances."""
--- a/bench/steps.py
+++ b/bench/steps.py
@@ -8,7 +8,7 @@
 from bench.report import Row
 from bench.scenes import Scene, scene, trainer_source
 from gypsumshift import AsyncTrainer
-from standins.trainer import StandinTrainer
+from standins.trainer import FakeTrainer
 
 __all__ = ["steps"]
 
@@ -65,7 +65,7 @@
 
     running: Scene
     trainer: AsyncTrainer
-    standin: StandinTrainer
+    standin: FakeTrainer
     step: int = 0
 
     async def course(self, count: int, crash: bool) -> Course:
@@ -100,7 +100,7 @@
     speed = {"step": 0.008, "swap": 0.1, "length_median": 60, "length_sigma": 0.8}
     async with scene(trainer_source(BASELINE), **speed) as running:
         async with AsyncTrainer(running.deployment.caller_urls(PATH)) as trainer:
-            standin = StandinTrainer(
+            standin = FakeTrainer(
                 trainer, "tr", samples=SAMPLES, max_tokens=600, seed=1
             )
             bench = Bench(running, trainer, standin)
--- a/history/workload.py
+++ b/history/workload.py
@@ -11,8 +11,8 @@
 from gypsumshift import Answered, AsyncClient, AsyncTrainer, NotRun
 from gypsumshift.httpclient import FetchError
 from standins.deployment import Deployment
-from standins.engine import echo
-from standins.trainer import StandinTrainer
+from standins.engine import prompt_digest
+from standins.trainer import FakeTrainer
 
 __all__ = ["Recorder", "Workload"]
 
@@ -144,7 +144,7 @@
         own = whole = True
         if isinstance(outcome, Answered):
             data = outcome.body
-            own = echo(prompt).encode() in data
+            own = prompt_digest(prompt).encode() in data
             if sort == "stream":
                 whole = data.count(b'"token_ids"') == tokens and b"[DONE]" in data
             else:
@@ -172,7 +172,7 @@
         urls = self.deployment.caller_urls(path)
         chance = random.Random(f"{self.seed}/trainer")
         async with AsyncTrainer(urls) as one, AsyncTrainer(urls[::-1]) as two:
-            standin = StandinTrainer(one, self.trainer, self.seed, max_tokens=120)
+            standin = FakeTrainer(one, self.trainer, self.seed, max_tokens=120)
             step = 0
             while not self.done.is_set() or self.delivered < self.submitted:
                 if not self.done.is_set():
@@ -188,7 +188,7 @@
                 await one.publish(self.version, b"w" * 100_000)
             self.recorder.add("end")
 
-    async def submit(self, standin: StandinTrainer) -> None:
+    async def submit(self, standin: FakeTrainer) -> None:
         """Keep some groups ahead."""
         ahead = (self.submitted - self.delivered) // standin.samples
         count = GROUPS_AHEAD - ahead
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -12,11 +12,11 @@
 
 from soak.checks import check_backends, check_results
 from soak.deployment import Deployment
-from soak.duties import check_duties
-from soak.fatal import calm, check_fatal, send_fatal
-from soak.faults import Faults
+from soak.fatal import check_fatal_requests, send_fatal_requests, wait_all_ready
+from soak.faults import FaultInjector
 from soak.keys import check_keys
 from soak.regression import SEEDS
+from soak.usagereports import check_usage_reports
 from soak.workload import Workload
 
 CALLERS = 4
@@ -24,9 +24,9 @@
 READERS = 4
 # Seconds behind the last fault in which callers go on: for what is known everywhere by
 # then to be seen.
-CALM = 8.0
+CALM_S = 8.0
 # Seconds after the last fault in which every accepted job must be whole.
-SETTLE = 60.0
+SETTLE_TIMEOUT_S = 60.0
 
 
 async def soak(folder: pathlib.Path, seed: int, seconds: float, nodes: int):
@@ -35,50 +35,52 @@
     loop.add_signal_handler(signal.SIGTERM, asyncio.current_task().cancel)
     deployment = Deployment(folder, seed, nodes)
     workload = Workload(deployment, seed)
-    faults = Faults(deployment, seed)
+    faults = FaultInjector(deployment, seed)
     try:
-        await deployment.start(workload.keys.config())
-        await workload.keys.write()
+        await deployment.start(workload.keys.make_config())
+        await workload.keys.write_config()
         callers = [asyncio.create_task(workload.call()) for _ in range(CALLERS)]
         callers += [asyncio.create_task(workload.train()) for _ in range(TRAINERS)]
         callers += [asyncio.create_task(workload.read_on()) for _ in range(READERS)]
-        callers.append(asyncio.create_task(send_fatal(workload, seed)))
+        callers.append(asyncio.create_task(send_fatal_requests(workload, seed)))
         keeping = asyncio.create_task(deployment.keep_workers())
-        changing = asyncio.create_task(workload.keys.run())
+        changing = asyncio.create_task(workload.keys.run_rotation())
         await faults.run(seconds)
         changing.cancel()
-        await calm(deployment)
+        await wait_all_ready(deployment)
         calm_from = time.time()
-        await asyncio.sleep(CALM)
+        await asyncio.sleep(CALM_S)
         workload.stopping = True
         await asyncio.gather(*callers)
         wrong = await settle(workload, deployment)
-        wrong += await check_duties(deployment)
+        wrong += await check_usage_reports(deployment)
         keeping.cancel()
     finally:
         await deployment.close()
     wrong += check_backends(folder, workload.seen)
-    wrong += check_fatal(folder, calm_from)
+    wrong += check_fatal_requests(folder, calm_from)
     wrong += check_keys(folder, workload.keys)
     seen = workload.seen
     played = (
-        f"{seen.served} requests served, {len(seen.refused)} refused, "
-        f"{len(seen.jobs)} jobs, {len(faults.done)} faults"
+        f"{seen.served_count} requests served, {len(seen.refused)} refused, "
+        f"{len(seen.jobs)} jobs, {len(faults.injected)} faults"
     )
-    return wrong, played, faults.done
+    return wrong, played, faults.injected
 
 
 async def settle(workload: Workload, deployment: Deployment) -> list[str]:
     """Read every job at every gateway, once all faults have ended."""
     wrong = []
     gateways = deployment.of_kind("gateway")
-    until = asyncio.get_running_loop().time() + SETTLE
+    until = asyncio.get_running_loop().time() + SETTLE_TIMEOUT_S
     for job, items in workload.seen.jobs.items():
         try:
             async with asyncio.timeout_at(until):
                 pages = [await workload.read(job, gateway) for gateway in gateways]
         except TimeoutError:
-            wrong.append(f"{job}: is not whole {SETTLE:.0f} s after the last fault")
+            wrong.append(
+                f"{job}: is not whole {SETTLE_TIMEOUT_S:.0f} s after the last fault"
+            )
             continue
         wrong += check_results(job, items, pages)
     return wrong
@@ -104,7 +106,7 @@
 
 def play(number: int, seconds: float, nodes: int, keep: str) -> bool:
     """Play one seed and print what came of it; return whether all promises held."""
-    with Kept(keep, number) if keep else tempfile.TemporaryDirectory() as name:
+    with KeptFolder(keep, number) if keep else tempfile.TemporaryDirectory() as name:
         run = soak(pathlib.Path(name), number, seconds, nodes)
         wrong, played, done = asyncio.run(run)
     print(f"seed {number}: {played}; {len(wrong)} broken promises", flush=True)
@@ -115,7 +117,7 @@
     return not wrong
 
 
-class Kept:
+class KeptFolder:
     """A new folder that stays after its run.
 
     What an earlier run of the seed wrote would be counted as this one's.
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -4,23 +4,23 @@
 import pathlib
 
 from soak.runs import read_runs
-from soak.workload import Seen
+from soak.workload import Observations
 from standins.users_worker import event_text
 
 __all__ = ["check_backends", "check_results"]
 
-EVENTS = 4
+EVENTS_PER_ITEM = 4
 
 
-def check_backends(folder: pathlib.Path, seen: Seen) -> list[str]:
+def check_backends(folder: pathlib.Path, seen: Observations) -> list[str]:
     """Return the promises that the backend servers saw broken."""
-    wrong = list(seen.wrong)
+    wrong = list(seen.violations)
     runs = read_runs(folder, "app")
     counts = collections.Counter(r["request"] for r in runs if "request" in r)
-    for request in seen.once:
+    for request in seen.unrepeatable:
         if counts[request] > 1:
             wrong.append(f"{request}: ran {counts[request]} times")
-    for request in seen.refused & seen.once:
+    for request in seen.refused & seen.unrepeatable:
         if counts[request]:
             wrong.append(f"{request}: said not to have run, and has")
     return wrong + check_orders(read_runs(folder, "engine"))
@@ -60,7 +60,7 @@
     item = result["id"]
     if result["state"] != "succeeded":
         return [f"{item}: {result['state']}"]
-    whole = "\n".join(event_text(item, n) for n in range(1, EVENTS + 1))
+    whole = "\n".join(event_text(item, n) for n in range(1, EVENTS_PER_ITEM + 1))
     wrong = []
     if result["text"] != whole:
         wrong.append(f"{item}: a wrong text")
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -18,15 +18,15 @@
 __all__ = ["Deployment", "Process"]
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-FIRST_BLOCK, BLOCKS = 20, 200
+FIRST_BLOCK, BLOCK_COUNT = 20, 200
 # Text in a body under which a worker ends, and seconds until it is started again.
-FATAL = "fatal"
-BACK_AFTER = 0.3
+FATAL_TEXT = "fatal"
+RESTART_DELAY_S = 0.3
 FRONT, READY, WORKER, STORE, NEIGHBOURS, CLOUD = 8100, 8101, 8200, 8300, 8400, 8500
 # Seconds after which a key that was taken away must not run anything any more.
-REVOKED_WITHIN = 3.0
+REVOKED_WITHIN_S = 3.0
 # Seconds of a window whose usage is told.
-WINDOW = 2.0
+REPORT_WINDOW_S = 2.0
 
 
 @attrs.define
@@ -85,8 +85,8 @@
     Two runs whose seeds led to one block met: the second found the first one's store.
     The socket holds the block until this process ends or closes it.
     """
-    for number in range(BLOCKS):
-        block = FIRST_BLOCK + (seed + number) % BLOCKS
+    for number in range(BLOCK_COUNT):
+        block = FIRST_BLOCK + (seed + number) % BLOCK_COUNT
         claim = socket.socket(type=socket.SOCK_DGRAM)
         try:
             claim.bind((f"127.{block}.255.254", STORE))
@@ -115,14 +115,15 @@
         self.nodes = nodes
         self.block, self.claim = claim_block(seed)
         self.fetcher = Fetcher()
-        self.hosts = 0
+        self.address_count = 0
         self.processes: list[Process] = []
-        self.returning: list[asyncio.Task] = []
+        self.restart_tasks: list[asyncio.Task] = []
 
     def next_ip(self) -> str:
         """Return a loopback address of its own."""
-        self.hosts += 1
-        return f"127.{self.block}.{self.hosts // 200}.{self.hosts % 200 + 1}"
+        self.address_count += 1
+        count = self.address_count
+        return f"127.{self.block}.{count // 200}.{count % 200 + 1}"
 
     def of_kind(self, kind: str) -> list[Process]:
         """Return the processes of a kind, such as ``gateway``."""
@@ -167,14 +168,16 @@
             await asyncio.sleep(0.1)
             for process in self.of_kind("app") + self.of_kind("engine"):
                 if process.child.returncode is not None and not process.lock.locked():
-                    self.returning.append(asyncio.create_task(self.bring_back(process)))
+                    self.restart_tasks.append(
+                        asyncio.create_task(self.restart_ended(process))
+                    )
                     # Takes the lock before it is looked at again.
                     await asyncio.sleep(0)
 
-    async def bring_back(self, process: Process) -> None:
+    async def restart_ended(self, process: Process) -> None:
         """Start a worker again that ended by itself."""
         async with process.lock:
-            await asyncio.sleep(BACK_AFTER)
+            await asyncio.sleep(RESTART_DELAY_S)
             if process.child.returncode is not None:
                 await process.start()
 
@@ -194,7 +197,7 @@
         same_id = f"i-{name}" if name.endswith(("0", "2")) else ""
         arguments = ["--port", str(WORKER), "--service", service, "--store", store]
         arguments += ["--models", models, "--runs", runs, "--name", same_id]
-        arguments += ["--fatal", FATAL]
+        arguments += ["--fatal", FATAL_TEXT]
         process = self.add(name, "standins.users_worker", *arguments)
         await process.start()
         return process
@@ -210,9 +213,9 @@
         fields["port_range"] = f"{NEIGHBOURS},{NEIGHBOURS}"
         fields["cloud_api.addr"] = "{}:{}".format(*self.cloud_address)
         fields["cloud_api.duties"] = "usage"
-        fields["bounds.report_window_s"] = WINDOW
+        fields["bounds.report_window_s"] = REPORT_WINDOW_S
         fields["bounds.strict_revoke"] = "true"
-        fields["bounds.revoke_ms"] = REVOKED_WITHIN * 1000
+        fields["bounds.revoke_ms"] = REVOKED_WITHIN_S * 1000
         settings = self.folder / f"{name}.conf"
         settings.write_text(settings_text(name, ip, proxy.address, **fields))
         environment = {"GYPSUMSHIFT_NODE_FILE": str(settings)}
@@ -255,7 +258,7 @@
 
     async def close(self) -> None:
         """End all processes that this run started."""
-        for task in self.returning:
+        for task in self.restart_tasks:
             task.cancel()
         await asyncio.gather(*(process.stop() for process in self.processes))
         self.claim.close()
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -29,19 +29,19 @@
     def __init__(self, target: tuple[str, int]):
         self.target = target
         self.mode = Mode.PASS
-        self.delay = 0.0
+        self.delay_s = 0.0
         self.address: tuple[str, int] = ("", 0)
         self.writers: set[asyncio.StreamWriter] = set()
         self.resumed = asyncio.Event()
 
     async def listen(self, ip: str) -> None:
         """Listen at a free port."""
-        server = await asyncio.start_server(self.accept, ip, 0)
+        server = await asyncio.start_server(self.serve_connection, ip, 0)
         self.address = server.sockets[0].getsockname()[:2]
 
-    def switch(self, mode: Mode, delay: float = 0.0) -> None:
+    def set_mode(self, mode: Mode, delay_s: float = 0.0) -> None:
         """Change what becomes of the bytes from now on."""
-        self.mode, self.delay = mode, delay
+        self.mode, self.delay_s = mode, delay_s
         if mode is Mode.RESET:
             for writer in self.writers:
                 writer.transport.abort()
@@ -50,7 +50,7 @@
         else:
             self.resumed.clear()
 
-    async def accept(self, reader, writer) -> None:
+    async def serve_connection(self, reader, writer) -> None:
         """Pass one connection on."""
         if self.mode is Mode.RESET:
             writer.transport.abort()
@@ -62,29 +62,29 @@
             return
         ends = {writer, far_writer}
         self.writers |= ends
-        there = asyncio.create_task(self.pump(reader, far_writer, False))
-        back = asyncio.create_task(self.pump(far_reader, writer, True))
+        there = asyncio.create_task(self.forward(reader, far_writer, False))
+        back = asyncio.create_task(self.forward(far_reader, writer, True))
         await asyncio.wait({there, back}, return_when=asyncio.FIRST_COMPLETED)
         for end in ends:
             end.transport.abort()
         self.writers -= ends
         await asyncio.wait({there, back})
 
-    async def pump(self, reader, writer, answers: bool) -> None:
+    async def forward(self, reader, writer, answers: bool) -> None:
         """Pass bytes one way until either side ends."""
         try:
             while data := await reader.read(READ_SIZE):
-                while self.held(answers):
+                while self.is_held(answers):
                     self.resumed.clear()
                     await self.resumed.wait()
                 if self.mode is Mode.DELAY:
-                    await asyncio.sleep(self.delay)
+                    await asyncio.sleep(self.delay_s)
                 writer.write(data)
                 await writer.drain()
         except ConnectionError:
             return
 
-    def held(self, answers: bool) -> bool:
+    def is_held(self, answers: bool) -> bool:
         """Tell whether bytes of one direction are held back."""
         one_way = self.mode is Mode.ONE_WAY and answers
         return one_way or self.mode is Mode.SILENT
--- a/soak/regression.py
+++ b/soak/regression.py
@@ -7,11 +7,11 @@
 
 __all__ = ["SEEDS", "RegressionSeed"]
 
-ONCE = (
+DOUBLE_RUN_CAUSE = (
     "requests that may not be repeated ran twice after their server was killed, since "
     "the number of attempts alone bounded them"
 )
-LATE = (
+LATE_ANSWER_CAUSE = (
     "answers to writes came late, behind the feed: units that were adopted and done "
     "ran again at the answers to their claims, and items stood at two positions"
 )
@@ -41,12 +41,12 @@
 
 
 SEEDS = (
-    RegressionSeed(11, 6, 2, ONCE, in_tests=True),
-    RegressionSeed(15, 15, 3, ONCE),
-    RegressionSeed(17, 15, 3, ONCE),
-    RegressionSeed(106, 6, 2, LATE, in_tests=True),
-    RegressionSeed(106, 12, 3, LATE),
-    RegressionSeed(203, 12, 3, LATE),
-    RegressionSeed(208, 12, 3, LATE),
-    RegressionSeed(210, 12, 3, LATE),
+    RegressionSeed(11, 6, 2, DOUBLE_RUN_CAUSE, in_tests=True),
+    RegressionSeed(15, 15, 3, DOUBLE_RUN_CAUSE),
+    RegressionSeed(17, 15, 3, DOUBLE_RUN_CAUSE),
+    RegressionSeed(106, 6, 2, LATE_ANSWER_CAUSE, in_tests=True),
+    RegressionSeed(106, 12, 3, LATE_ANSWER_CAUSE),
+    RegressionSeed(203, 12, 3, LATE_ANSWER_CAUSE),
+    RegressionSeed(208, 12, 3, LATE_ANSWER_CAUSE),
+    RegressionSeed(210, 12, 3, LATE_ANSWER_CAUSE),
 )
--- a/soak/duties.py
+++ b/soak/usagereports.py
@@ -5,10 +5,10 @@
 from soak.deployment import Deployment
 from standins.users_cloud import Call, find_violations
 
-__all__ = ["check_duties"]
+__all__ = ["check_usage_reports"]
 
 
-async def check_duties(deployment: Deployment) -> list[str]:
+async def check_usage_reports(deployment: Deployment) -> list[str]:
     """Return what one holder at a time would never have sent, and windows left out."""
     answer = await deployment.fetcher.fetch(deployment.cloud_address, "GET", "/seen")
     calls = [Call(**call) for call in json.loads(answer.body)]
--- a/standins/cache.py
+++ b/standins/cache.py
@@ -5,7 +5,7 @@
 
 __all__ = ["PrefixCache"]
 
-BLOCK = 16
+BLOCK_TOKENS = 16
 
 
 class PrefixCache:
@@ -17,16 +17,16 @@
         Blocks that it holds.
     """
 
-    def __init__(self, most: int):
-        self.most = most
+    def __init__(self, max_blocks: int):
+        self.max_blocks = max_blocks
         self.blocks: collections.OrderedDict[str, None] = collections.OrderedDict()
         self.hits = self.misses = 0
 
-    def uncached(self, prompt: str) -> int:
+    def cache_prompt(self, prompt: str) -> int:
         """Return the prompt tokens to compute, and cache them."""
         words = prompt.split()
         todo, missed = 0, False
-        for end in range(BLOCK, len(words) + BLOCK, BLOCK):
+        for end in range(BLOCK_TOKENS, len(words) + BLOCK_TOKENS, BLOCK_TOKENS):
             block = hashlib.md5(" ".join(words[:end]).encode()).hexdigest()
             if block in self.blocks and not missed:
                 self.hits += 1
@@ -34,9 +34,9 @@
                 continue
             missed = True
             self.misses += 1
-            todo += min(BLOCK, len(words) - end + BLOCK)
+            todo += min(BLOCK_TOKENS, len(words) - end + BLOCK_TOKENS)
             self.blocks[block] = None
-            if len(self.blocks) > self.most:
+            if len(self.blocks) > self.max_blocks:
                 self.blocks.popitem(last=False)
         return todo
 
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -30,11 +30,11 @@
 DEFAULT_FOLDER = pathlib.Path("examples/teranga-signes")
 FIRST_CALLER_PORT = 8100
 FIRST_OPERATOR_PORT = 8200
-PORTS = (10240, 32000)
-CLAIMS: dict[int, socket.socket] = {}
-READY_TIMEOUT = 60.0
-STOP_TIMEOUT = 10.0
-POLL = 0.05
+PORT_RANGE = (10240, 32000)
+PORT_CLAIMS: dict[int, socket.socket] = {}
+READY_TIMEOUT_S = 60.0
+STOP_TIMEOUT_S = 10.0
+POLL_PERIOD_S = 0.05
 
 
 def free_port() -> int:
@@ -45,7 +45,7 @@
     nobody else here uses, keeps other deployments from choosing it.
     """
     while True:
-        port = random.SystemRandom().randrange(*PORTS)
+        port = random.SystemRandom().randrange(*PORT_RANGE)
         claim = socket.socket(type=socket.SOCK_DGRAM)
         try:
             claim.bind((HOST, port))
@@ -54,12 +54,12 @@
         except OSError:
             claim.close()
             continue
-        CLAIMS[port] = claim
+        PORT_CLAIMS[port] = claim
         return port
 
 
 @attrs.define
-class Running:
+class ManagedProcess:
     """One process of the deployment.
 
     Attributes
@@ -109,7 +109,7 @@
         self.stack = contextlib.ExitStack()
         folder = self.stack.enter_context(tempfile.TemporaryDirectory())
         self.folder = pathlib.Path(folder)
-        self.running: dict[str, Running] = {}
+        self.running: dict[str, ManagedProcess] = {}
         self.fetcher = Fetcher()
         self.platform_port = free_port()
 
@@ -149,15 +149,15 @@
                 found += [f"--{name.replace('_', '-')}", str(self.speed[name])]
         return found
 
-    def entries(self) -> list[Running]:
+    def entries(self) -> list[ManagedProcess]:
         """Return the entries."""
         return [r for r in self.running.values() if "caller" in r.ports]
 
-    def sidecars(self) -> list[Running]:
+    def sidecars(self) -> list[ManagedProcess]:
         """Return the sidecars."""
         return [r for r in self.running.values() if r.name.startswith("sidecar-")]
 
-    def add_entry(self, number: int) -> Running:
+    def add_entry(self, number: int) -> ManagedProcess:
         """Start one entry."""
         ports = {kind: free_port() for kind in ("peer", "caller", "operator")}
         if self.fixed_ports:
@@ -200,7 +200,7 @@
         ports = {kind: free_port() for kind in ("peer", "operator")}
         self.add_process(settings, ports)
 
-    def add_process(self, settings: dict, ports: dict[str, int]) -> Running:
+    def add_process(self, settings: dict, ports: dict[str, int]) -> ManagedProcess:
         """Write the settings of one process of the system, and start it."""
         seeds = [f"{HOST}:{r.ports['peer']}" for r in self.entries()]
         settings |= {
@@ -216,9 +216,9 @@
         running.ports = ports
         return running
 
-    def launch(self, name: str, command: list[str]) -> Running:
+    def launch(self, name: str, command: list[str]) -> ManagedProcess:
         """Start one process; its output goes to a file."""
-        running = self.running.setdefault(name, Running(name, command))
+        running = self.running.setdefault(name, ManagedProcess(name, command))
         with open(self.folder / f"{name}.log", "ab") as output:
             running.process = subprocess.Popen(
                 [sys.executable, "-m", *command],
@@ -235,7 +235,7 @@
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.terminate()
-        deadline = time.monotonic() + STOP_TIMEOUT
+        deadline = time.monotonic() + STOP_TIMEOUT_S
         for process in alive:
             try:
                 process.wait(max(0.0, deadline - time.monotonic()))
@@ -275,7 +275,7 @@
 
     async def until_answers(self, name: str, port: int, target: str) -> None:
         """Wait until a process answers 200."""
-        deadline = time.monotonic() + READY_TIMEOUT
+        deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             if self.running[name].process.poll() is not None:
                 break
@@ -283,7 +283,7 @@
                 answer = await self.fetcher.fetch((HOST, port), "GET", target)
                 if answer.status == 200:
                     return
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(POLL_PERIOD_S)
         log = (self.folder / f"{name}.log").read_text()
         raise RuntimeError(f"{name} does not serve: {log[-2000:]}")
 
@@ -300,7 +300,7 @@
         answer = await self.operator("GET", "/v1/status", entry=entry)
         return json.loads(answer.body)
 
-    async def until_status(self, holds, timeout: float = READY_TIMEOUT) -> list[dict]:
+    async def until_status(self, holds, timeout: float = READY_TIMEOUT_S) -> list[dict]:
         """Wait until the status of all processes meets a condition."""
         deadline = time.monotonic() + timeout
         while True:
@@ -310,7 +310,7 @@
             self.check_alive()
             if time.monotonic() > deadline:
                 raise RuntimeError(f"not in time; the status is {rows}")
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(POLL_PERIOD_S)
 
     def check_alive(self) -> None:
         """Raise an error with the log of a process that has ended by itself."""
@@ -345,7 +345,7 @@
         return [f"http://{HOST}:{r.ports['caller']}{path}" for r in self.entries()]
 
 
-async def up(folder: pathlib.Path, entries: int) -> None:
+async def run_in_foreground(folder: pathlib.Path, entries: int) -> None:
     """Run a deployment until cancelled."""
     catalog = declarations.load(folder)
     async with Deployment(catalog, entries, fixed_ports=True) as deployment:
@@ -368,7 +368,7 @@
     entries: Annotated[int, typer.Option(help="Number of entries.")] = 2,
 ) -> None:
     """Run a whole deployment on loopback in the foreground."""
-    asyncio.run(up(folder, entries))
+    asyncio.run(run_in_foreground(folder, entries))
 
 
 if __name__ == "__main__":
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -26,9 +26,9 @@
 )
 from standins.cache import PrefixCache
 
-REPORT_PERIOD = 0.5
+REPORT_PERIOD_S = 0.5
 TOKENS_PER_VERSION = 1000
-PROMPT_TOKENS = 10**9
+FIRST_PROMPT_TOKEN_ID = 10**9
 
 
 @attrs.define
@@ -64,20 +64,20 @@
     """One completion under way."""
 
     prompt: str
-    most: int
+    max_tokens: int
     priority: int
     seed: int
     tokens: asyncio.Queue = attrs.field(factory=asyncio.Queue)
-    made: int = 0
+    generated_count: int = 0
     prefill: int = 0
-    gone: bool = False
-    breaks: bool = False
-    ends: str = "length"
-    told: bool = False
+    closed: bool = False
+    break_midway: bool = False
+    finish_reason: str = "length"
+    prompt_ids_sent: bool = False
 
 
 @attrs.define
-class Speed:
+class StepTiming:
     """How long a step takes, in seconds.
 
     Attributes
@@ -90,12 +90,12 @@
         More for each prompt token that is not cached.
     """
 
-    step: float = 0.004
-    sequence: float = 0.0002
-    prefill: float = 0.00002
+    base_s: float = 0.004
+    per_sequence_s: float = 0.0002
+    per_prompt_token_s: float = 0.00002
 
 
-class StandinEngine:
+class FakeEngine:
     """A model engine.
 
     Parameters
@@ -122,7 +122,7 @@
         batch: int = 32,
         cache_blocks: int = 4096,
         swap: float = 0.1,
-        speed: Speed | None = None,
+        step_timing: StepTiming | None = None,
     ):
         self.pool = pool
         self.dialect = dialect
@@ -130,20 +130,20 @@
         self.checks_fencing = checks_fencing
         self.batch = batch
         self.swap = swap
-        self.speed = speed or Speed()
+        self.step_timing = step_timing or StepTiming()
         self.length_sigma = self.length_median = 0.0
-        self.chance = random.Random(pool)
+        self.rng = random.Random(pool)
         self.version = 0
         self.fence = 0
         self.faults = Faults()
         self.running: list[Sequence] = []
         self.waiting: list = []
-        self.order = itertools.count()
+        self.arrival_numbers = itertools.count()
         self.cache = PrefixCache(cache_blocks)
-        self.made = 0
-        self.work = asyncio.Event()
-        self.swapping = asyncio.Lock()
-        self.reported = (0, 0)
+        self.generated_count = 0
+        self.work_available = asyncio.Event()
+        self.swap_lock = asyncio.Lock()
+        self.reported_load = (0, 0)
         self.fetcher = Fetcher()
         self.server = HttpServer(self.serve)
 
@@ -159,34 +159,38 @@
         while True:
             self.fill_batch()
             if not self.running:
-                self.work.clear()
-                await self.work.wait()
+                self.work_available.clear()
+                await self.work_available.wait()
                 continue
             prefill = sum(sequence.prefill for sequence in self.running)
-            took = self.speed.step + self.speed.sequence * len(self.running)
-            took += self.speed.prefill * prefill
+            took = self.step_timing.base_s + self.step_timing.per_sequence_s * len(
+                self.running
+            )
+            took += self.step_timing.per_prompt_token_s * prefill
             await asyncio.sleep(took * self.faults.slow)
-            async with self.swapping:
-                self.emit()
+            async with self.swap_lock:
+                self.emit_tokens()
 
     def fill_batch(self) -> None:
         """Admit waiting sequences, the lowest priority number first."""
-        self.running = [s for s in self.running if not s.gone and s.made < s.most]
+        self.running = [
+            s for s in self.running if not s.closed and s.generated_count < s.max_tokens
+        ]
         while self.waiting and len(self.running) < self.batch:
             sequence = heapq.heappop(self.waiting)[2]
-            if not sequence.gone:
-                sequence.prefill = self.cache.uncached(sequence.prompt)
+            if not sequence.closed:
+                sequence.prefill = self.cache.cache_prompt(sequence.prompt)
                 self.running.append(sequence)
 
-    def emit(self) -> None:
+    def emit_tokens(self) -> None:
         """Make one token for each running sequence."""
         for sequence in self.running:
             sequence.prefill = 0
             chance = random.Random(
-                (sequence.seed, sequence.made, self.version).__hash__()
+                (sequence.seed, sequence.generated_count, self.version).__hash__()
             )
-            sequence.made += 1
-            self.made += 1
+            sequence.generated_count += 1
+            self.generated_count += 1
             # A token tells which version made it, for whoever checks the labels.
             token = self.version * TOKENS_PER_VERSION
             token += chance.randrange(TOKENS_PER_VERSION)
@@ -195,8 +199,8 @@
     async def report_forever(self) -> None:
         """Keep the load that is reported, which lags."""
         while True:
-            self.reported = (len(self.running), len(self.waiting))
-            await asyncio.sleep(REPORT_PERIOD)
+            self.reported_load = (len(self.running), len(self.waiting))
+            await asyncio.sleep(REPORT_PERIOD_S)
 
     # HTTP
 
@@ -205,13 +209,13 @@
         if request.path == "/standin":
             return self.serve_faults(request)
         if request.path in ("/v1/completions", "/v1/chat/completions"):
-            return await self.complete(request)
+            return await self.serve_completion(request)
         if request.path in ("/reload_weights", "/update_weights_from_disk"):
             return await self.load_weights(request)
         if request.path == "/metrics" and self.dialect == "vllm":
-            return Response(200, [("content-type", "text/plain")], self.metrics())
+            return Response(200, [("content-type", "text/plain")], self.vllm_metrics())
         if request.path == "/get_server_info" and self.dialect == "sglang":
-            return json_response(200, self.server_info())
+            return json_response(200, self.sglang_server_info())
         return json_response(404, {"error": "not found"})
 
     def serve_faults(self, request: Request) -> Response:
@@ -220,43 +224,47 @@
             self.faults = Faults(**json.loads(request.body))
         value = attrs.asdict(self.faults)
         cache = self.cache
-        counts = {"hits": cache.hits, "misses": cache.misses, "made": self.made}
+        counts = {
+            "hits": cache.hits,
+            "misses": cache.misses,
+            "made": self.generated_count,
+        }
         return json_response(200, value | counts | {"version": self.version})
 
-    def metrics(self) -> bytes:
+    def vllm_metrics(self) -> bytes:
         """Return the load as vLLM's page does."""
-        running, waiting = self.reported
+        running, waiting = self.reported_load
         return (
             f"vllm:num_requests_running {running}\n"
             f"vllm:num_requests_waiting {waiting}\n"
             f'vllm:weights_info{{weight_version="{self.version}"}} 1\n'
         ).encode()
 
-    def server_info(self) -> dict:
+    def sglang_server_info(self) -> dict:
         """Return the load as SGLang's page does."""
-        running, waiting = self.reported
+        running, waiting = self.reported_load
         state = {"num_running_reqs": running, "num_waiting_reqs": waiting}
         return {"internal_states": [state], "weight_version": str(self.version)}
 
-    async def complete(self, request: Request) -> Response:
+    async def serve_completion(self, request: Request) -> Response:
         """Answer a completion, streamed or not."""
         try:
-            sequence = self.sequence(json.loads(request.body))
+            sequence = self.make_sequence(json.loads(request.body))
         except (ValueError, KeyError, TypeError, AttributeError):
             return json_response(400, {"error": "not a completion request"})
         if self.faults.break_streams > 0:
             self.faults.break_streams -= 1
-            sequence.breaks = True
-        key = (sequence.priority, next(self.order), sequence)
+            sequence.break_midway = True
+        key = (sequence.priority, next(self.arrival_numbers), sequence)
         heapq.heappush(self.waiting, key)
-        self.work.set()
+        self.work_available.set()
         chat = "chat" in request.path
         if json.loads(request.body).get("stream"):
             headers = [("content-type", "text/event-stream")]
-            return Response(200, headers, self.stream(sequence, chat))
-        return await self.collect(sequence, chat)
+            return Response(200, headers, self.stream_completion(sequence, chat))
+        return await self.collect_completion(sequence, chat)
 
-    def sequence(self, value: dict) -> Sequence:
+    def make_sequence(self, value: dict) -> Sequence:
         """Return the sequence that a request asks for.
 
         A prompt may be a list of token ids, of the prompt and of what was generated
@@ -266,58 +274,69 @@
         if prompt is None:
             prompt = " ".join(m["content"] for m in value["messages"])
         if isinstance(prompt, list):
-            generated = sum(1 for token in prompt if token < PROMPT_TOKENS)
+            generated = sum(1 for token in prompt if token < FIRST_PROMPT_TOKEN_ID)
             prompt = " ".join(map(str, prompt))
         most = int(value.get("max_tokens", 16))
         priority = int(value.get("priority", 0))
         sequence = Sequence(prompt, most, priority, random.getrandbits(60))
         if self.length_sigma and value.get("return_token_ids"):
-            length = self.chance.lognormvariate(0, self.length_sigma)
+            length = self.rng.lognormvariate(0, self.length_sigma)
             left = max(1, int(length * self.length_median) - generated)
             if left < most:
-                sequence.most, sequence.ends = left, "stop"
+                sequence.max_tokens, sequence.finish_reason = left, "stop"
         return sequence
 
-    async def stream(self, sequence: Sequence, chat: bool):
+    async def stream_completion(self, sequence: Sequence, chat: bool):
         """Yield a completion as events."""
         try:
-            while sequence.made < sequence.most or not sequence.tokens.empty():
+            while (
+                sequence.generated_count < sequence.max_tokens
+                or not sequence.tokens.empty()
+            ):
                 token, version = await sequence.tokens.get()
-                last = sequence.made >= sequence.most and sequence.tokens.empty()
-                if sequence.breaks and sequence.made > sequence.most // 2:
+                last = (
+                    sequence.generated_count >= sequence.max_tokens
+                    and sequence.tokens.empty()
+                )
+                if (
+                    sequence.break_midway
+                    and sequence.generated_count > sequence.max_tokens // 2
+                ):
                     raise ResponseAborted("told to break")
-                event = self.event(token, version, last, chat, sequence.ends)
-                if not sequence.told:
-                    sequence.told = True
+                event = self.make_event(
+                    token, version, last, chat, sequence.finish_reason
+                )
+                if not sequence.prompt_ids_sent:
+                    sequence.prompt_ids_sent = True
                     words = len(sequence.prompt.split())
-                    ids = [PROMPT_TOKENS + place for place in range(words)]
+                    ids = [FIRST_PROMPT_TOKEN_ID + place for place in range(words)]
                     event["choices"][0]["prompt_token_ids"] = ids
-                event["echo"] = echo(sequence.prompt)
+                event["echo"] = prompt_digest(sequence.prompt)
                 yield b"data: " + json.dumps(event).encode() + b"\n\n"
             yield b"data: [DONE]\n\n"
         finally:
-            sequence.gone = True
+            sequence.closed = True
 
-    async def collect(self, sequence: Sequence, chat: bool) -> Response:
+    async def collect_completion(self, sequence: Sequence, chat: bool) -> Response:
         """Return a completion as a whole."""
         words = []
         try:
-            while len(words) < sequence.most:
+            while len(words) < sequence.max_tokens:
                 token, version = await sequence.tokens.get()
                 words.append(f"w{token}")
         finally:
-            sequence.gone = True
-        event = self.event(0, version, True, chat)
+            sequence.closed = True
+        event = self.make_event(0, version, True, chat)
         text = " ".join(words)
         if chat:
             event["choices"][0]["message"] = {"role": "assistant", "content": text}
         else:
             event["choices"][0]["text"] = text
         event["usage"] = {"completion_tokens": len(words)}
-        event["echo"] = echo(sequence.prompt)
+        event["echo"] = prompt_digest(sequence.prompt)
         return json_response(200, event)
 
-    def event(self, token, version, last, chat, ends="stop") -> dict:
+    def make_event(self, token, version, last, chat, ends="stop") -> dict:
         """Return one event in the vendor's manner."""
         choice = {"index": 0, "token_ids": [token]}
         choice["finish_reason"] = ends if last else None
@@ -351,7 +370,7 @@
         if self.faults.half_swaps > 0:
             self.faults.half_swaps -= 1
             return json_response(200, {"success": True})
-        async with self.swapping:
+        async with self.swap_lock:
             await asyncio.sleep(self.swap)
             self.version = version
             self.cache.clear()
@@ -373,7 +392,7 @@
         return answer.status == 200
 
 
-def echo(prompt: str) -> str:
+def prompt_digest(prompt: str) -> str:
     """Return a digest of a prompt, by which its answer is recognized."""
     return hashlib.md5(prompt.encode()).hexdigest()[:12]
 
@@ -394,8 +413,15 @@
 ) -> None:
     """Run a stand-in for a model engine."""
     address = parse_address(platform) if platform else None
-    engine = StandinEngine(
-        pool, dialect, address, checks_fencing, batch, cache_blocks, swap, Speed(step)
+    engine = FakeEngine(
+        pool,
+        dialect,
+        address,
+        checks_fencing,
+        batch,
+        cache_blocks,
+        swap,
+        StepTiming(step),
     )
     engine.length_median, engine.length_sigma = length_median, length_sigma
     asyncio.run(engine.run(host, port))
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -45,7 +45,7 @@
     seed: int = 0
 
 
-class StandinPlatform:
+class FakePlatform:
     """The platform's services behind one HTTP server.
 
     Parameters
@@ -59,7 +59,7 @@
     def __init__(self, weight_rate: float = 50e6, host_lag: float = 2.0):
         self.platform = memory.connect("memory:standin")
         self.faults = Faults()
-        self.chance = random.Random(0)
+        self.rng = random.Random(0)
         self.weight_rate = weight_rate
         self.weights_free_at = 0.0
         self.host_lag = host_lag
@@ -84,7 +84,7 @@
         self.counts["writes" if writes else "reads"] += 1
         handler = getattr(self, f"serve_{kind}", None)
         response = await handler(request, parts[1:]) if handler else Response(404)
-        if writes and self.chance.random() < self.faults.lose:
+        if writes and self.rng.random() < self.faults.lose:
             await asyncio.sleep(3600)
         return response
 
@@ -92,7 +92,7 @@
         """Switch faults; an empty object ends them all."""
         if request.method == "PUT":
             self.faults = Faults(**json.loads(request.body))
-            self.chance = random.Random(self.faults.seed)
+            self.rng = random.Random(self.faults.seed)
         return json_response(200, attrs.asdict(self.faults))
 
     async def serve_tables(self, request: Request, rest: list[str]) -> Response:
@@ -163,7 +163,7 @@
     return Response(503)
 
 
-async def serve(host: str, port: int, platform: StandinPlatform) -> None:
+async def serve(host: str, port: int, platform: FakePlatform) -> None:
     """Serve until cancelled."""
     await platform.server.listen(host, port)
     await asyncio.Event().wait()
@@ -176,7 +176,7 @@
     host_lag: Annotated[float, typer.Option(help="Seconds.")] = 2.0,
 ) -> None:
     """Run a stand-in for the platform."""
-    asyncio.run(serve(host, port, StandinPlatform(weight_rate, host_lag)))
+    asyncio.run(serve(host, port, FakePlatform(weight_rate, host_lag)))
 
 
 if __name__ == "__main__":
--- a/standins/service.py
+++ b/standins/service.py
@@ -41,7 +41,7 @@
     sick: bool = False
 
 
-class StandinService:
+class FakeService:
     """A plain service.
 
     Parameters
@@ -60,16 +60,16 @@
     def __init__(
         self,
         name: str,
-        places: int = 8,
+        slots: int = 8,
         duration: float = 0.01,
         spread: float = 0.3,
         journal: str = "",
     ):
         self.name = name
-        self.places = asyncio.Semaphore(places)
+        self.slots = asyncio.Semaphore(slots)
         self.duration = duration
         self.spread = spread
-        self.chance = random.Random(name)
+        self.rng = random.Random(name)
         self.runs = collections.Counter()
         self.running = 0
         self.journal = open(journal, "a", buffering=1) if journal else None
@@ -85,15 +85,15 @@
             if request.method == "PUT":
                 self.faults = Faults(**json.loads(request.body))
             return json_response(200, {"runs": dict(self.runs)})
-        return await self.run(request)
+        return await self.run_request(request)
 
-    async def run(self, request: Request) -> Response:
+    async def run_request(self, request: Request) -> Response:
         """Run one request; counted as run once it has a place."""
         self.running += 1
         try:
-            async with self.places:
-                self.note(request.header("request-id") or request.path)
-                spread = self.chance.lognormvariate(0, self.spread)
+            async with self.slots:
+                self.record_run(request.header("request-id") or request.path)
+                spread = self.rng.lognormvariate(0, self.spread)
                 await asyncio.sleep(self.duration * spread * self.faults.slow)
         finally:
             self.running -= 1
@@ -106,23 +106,23 @@
         }
         if self.faults.cut > 0:
             self.faults.cut -= 1
-            return Response(200, [], self.cut())
+            return Response(200, [], self.stream_cut_body())
         return json_response(200, value)
 
-    def note(self, request_id: str) -> None:
+    def record_run(self, request_id: str) -> None:
         """Note that a request begins to run."""
         self.runs[request_id] += 1
         if self.journal:
             line = {"at": time.time(), "by": self.name, "id": request_id}
             self.journal.write(json.dumps(line) + "\n")
 
-    async def cut(self):
+    async def stream_cut_body(self):
         """Yield a part of an answer, then break."""
         yield b'{"service": '
         raise ResponseAborted("told to cut")
 
 
-async def serve(service: StandinService, host: str, port: int) -> None:
+async def serve(service: FakeService, host: str, port: int) -> None:
     """Serve until cancelled."""
     await service.server.listen(host, port)
     await asyncio.Event().wait()
@@ -138,7 +138,7 @@
     journal: str = "",
 ) -> None:
     """Run a stand-in for a plain service."""
-    service = StandinService(name, places, duration, spread, journal)
+    service = FakeService(name, places, duration, spread, journal)
     asyncio.run(serve(service, host, port))
 
 
--- a/standins/trainer.py
+++ b/standins/trainer.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define
-class StandinTrainer:
+class FakeTrainer:
     """A trainer over the public client.
 
     Attributes
@@ -53,7 +53,9 @@
         """Submit new groups."""
         return await self.trainer.submit(self.next_groups(count))
 
-    async def train(self, delivery: Delivery, weights: bytes = b"weights") -> int:
+    async def publish_next_version(
+        self, delivery: Delivery, weights: bytes = b"weights"
+    ) -> int:
         """Publish the version that a step leads to; return it."""
         version = max(delivery.version, self.trainer.version) + 1
         await self.trainer.publish(version, weights)
--- a/tests/system.py
+++ b/tests/system.py
@@ -9,8 +9,8 @@
 from gypsumshift.entry import Entry
 from gypsumshift.generated.settings import Settings
 from gypsumshift.sidecar import Sidecar
-from standins.engine import Speed, StandinEngine
-from standins.service import StandinService
+from standins.engine import FakeEngine, StepTiming
+from standins.service import FakeService
 
 from . import builders
 
@@ -133,14 +133,14 @@
         )
         self.entries[0].adopt_revision(1, json.dumps(outcome.declarations))
         for number in range(engines):
-            engine = StandinEngine("model", checks_fencing=True, swap=0.01)
-            engine.speed = Speed(0.002, 0, 0)
+            engine = FakeEngine("model", checks_fencing=True, swap=0.01)
+            engine.step_timing = StepTiming(0.002, 0, 0)
             self.engines.append(engine)
             port = await engine.server.listen(HOST, 0)
             self.tasks.append(asyncio.create_task(engine.step_forever()))
             await self.add_sidecar(f"model-{number}", "model", port)
         for number in range(services):
-            service = StandinService(f"shop-{number}", duration=0.001, spread=0)
+            service = FakeService(f"shop-{number}", duration=0.001, spread=0)
             self.services.append(service)
             port = await service.server.listen(HOST, 0)
             await self.add_sidecar(f"shop-{number}", "shop", port)
