--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -115,15 +115,14 @@
         self.nodes = nodes
         self.block, self.claim = claim_block(seed)
         self.fetcher = Fetcher()
-        self.address_count = 0
+        self.ip_count = 0
         self.processes: list[Process] = []
         self.restart_tasks: list[asyncio.Task] = []
 
     def next_ip(self) -> str:
         """Return a loopback address of its own."""
-        self.address_count += 1
-        count = self.address_count
-        return f"127.{self.block}.{count // 200}.{count % 200 + 1}"
+        self.ip_count += 1
+        return f"127.{self.block}.{self.ip_count // 200}.{self.ip_count % 200 + 1}"
 
     def of_kind(self, kind: str) -> list[Process]:
         """Return the processes of a kind, such as ``gateway``."""
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -134,13 +134,13 @@
 def test_a_disconnected_caller_frees_its_slot():
     async def work(sys):
         engine = sys.engines[0]
-        engine.speed.step = 0.01
+        engine.step_timing.base_s = 0.01
         async with sys.client() as client:
             body = {"prompt": "p", "max_tokens": 100000}
             call = asyncio.create_task(client.call("POST", "/v1/completions", body))
             await wait_until(lambda: engine.running)
             call.cancel()
-            await wait_until(lambda: all(s.gone for s in engine.running))
+            await wait_until(lambda: all(s.closed for s in engine.running))
             await wait_until(
                 lambda: sys.sidecars["model-0"].attempt_runner.admission.running == 0
             )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -184,7 +184,7 @@
 def test_a_draining_entry_finishes_its_streams():
     async def work(sys):
         entry, engine = sys.entries[0], sys.engines[0]
-        engine.speed.step = 0.01
+        engine.step_timing.base_s = 0.01
         async with sys.client(entry=0) as client:
             body = {"prompt": "p", "max_tokens": 150, "stream": True}
             call = asyncio.create_task(client.call("POST", "/v1/completions", body))
--- a/tests/test_samples.py
+++ b/tests/test_samples.py
@@ -48,7 +48,7 @@
             await trainer.submit(make_groups(4, tokens=150))
             pull = asyncio.create_task(trainer.step(1))
             await wait_until(
-                lambda: sys.engines[0].running and sys.engines[0].made > 40
+                lambda: sys.engines[0].running and sys.engines[0].generated_count > 40
             )
             await trainer.publish(1, b"w")
             delivery = await pull
@@ -82,7 +82,7 @@
         async with sys.trainer() as trainer:
             await trainer.submit(make_groups(2, tokens=150))
             pull = asyncio.create_task(trainer.step(1))
-            await wait_until(lambda: engine.made > 40)
+            await wait_until(lambda: engine.generated_count > 40)
             await trainer.publish(1, b"w")
             delivery = await pull
             check_spans(delivery)
@@ -98,7 +98,7 @@
         async with sys.trainer() as trainer:
             await trainer.submit(make_groups(2, tokens=150))
             pull = asyncio.create_task(trainer.step(1))
-            await wait_until(lambda: sys.engines[0].made > 40)
+            await wait_until(lambda: sys.engines[0].generated_count > 40)
             await sys.replace_sidecar("model-0")
             delivery = await pull
             assert sorted(s.id for s in delivery.samples) == [
@@ -196,9 +196,9 @@
         async with sys.trainer() as trainer:
             await trainer.submit(make_groups(4))
             pull = asyncio.create_task(trainer.step(1))
-            await wait_until(lambda: sys.engines[0].made > 5)
+            await wait_until(lambda: sys.engines[0].generated_count > 5)
             sys.tables.down = True
-            await wait_until(lambda: sys.engines[0].made >= 40)
+            await wait_until(lambda: sys.engines[0].generated_count >= 40)
             sys.engines[0].version = 5
             sys.tables.down = False
             delivery = await pull
@@ -213,14 +213,14 @@
 def test_prompt_rejected_by_the_engine_fails_its_group_with_a_reason():
     async def work(sys):
         engine = sys.engines[0]
-        inner = engine.complete
+        inner = engine.serve_completion
 
         async def complete(request):
             if json.loads(request.body)["prompt"] == "prompt 0":
                 request.body = b"{}"
             return await inner(request)
 
-        engine.complete = complete
+        engine.serve_completion = complete
         async with sys.trainer() as trainer:
             await trainer.submit(make_groups(3))
             delivery = await trainer.step(1)
@@ -236,7 +236,7 @@
 def test_draining_sidecar_refuses_new_requests_and_finishes_running_ones():
     async def work(sys):
         engine, sidecar = sys.engines[0], sys.sidecars["model-0"]
-        engine.speed.step = 0.005
+        engine.step_timing.base_s = 0.005
         async with sys.client() as client:
             body = {"prompt": "p", "max_tokens": 60}
             call = asyncio.create_task(client.call("POST", "/v1/completions", body))
--- a/tests/test_sampling.py
+++ b/tests/test_sampling.py
@@ -63,7 +63,7 @@
             await trainer.submit(make_groups(4, tokens=60))
             pull = asyncio.create_task(trainer.step(1))
             await wait_until(lambda: stalled.running)
-            await stalled.swapping.acquire()
+            await stalled.swap_lock.acquire()
             delivery = await pull
             check_token_versions(delivery)
         assert sys.entries[0].driver_manager.drivers["tr"].sampler.migrated > 0
@@ -77,7 +77,7 @@
             await trainer.submit(make_groups(2, tokens=300))
             trainer.version = 0
             pull = asyncio.create_task(trainer.step(1))
-            await wait_until(lambda: sys.engines[0].made > 20)
+            await wait_until(lambda: sys.engines[0].generated_count > 20)
             await trainer.publish(5, b"w")
             trainer.version = 5
             trainer.client.entry_index += 1
