--- a/gypsumshift/events.py
+++ b/gypsumshift/events.py
@@ -46,11 +46,11 @@
         self.clock = clock
         self.last = Timestamp(0, 0)
 
-    def tick(self) -> Timestamp:
+    def next_timestamp(self) -> Timestamp:
         """Return a timestamp later than all earlier ones of this clock."""
         return self.advance(self.last)
 
-    def observe(self, other: Timestamp) -> None:
+    def observe_timestamp(self, other: Timestamp) -> None:
         """Advance the clock past a timestamp received with a message."""
         self.advance(max(self.last, other))
 
@@ -77,13 +77,13 @@
 
     def __init__(self, process: str, clock: Clock):
         self.process = process
-        self.hybrid = HybridClock(clock)
+        self.hybrid_clock = HybridClock(clock)
         self.ring = collections.deque(maxlen=MAX_EVENTS)
         self.bytes_sent = self.bytes_received = 0
 
     def record(self, kind: str, subject: str, detail: str = "") -> None:
         """Record an event of a kind that concerns ``subject``."""
-        stamp = self.hybrid.tick()
+        stamp = self.hybrid_clock.next_timestamp()
         event = messages.Event(
             stamp.time_us,
             stamp.tick,
--- a/gypsumshift/frames.py
+++ b/gypsumshift/frames.py
@@ -114,13 +114,15 @@
         except (asyncio.IncompleteReadError, ConnectionError) as error:
             raise FrameError("the peer closed the connection") from error
         frame = decode_frame(data)
-        self.recorder.hybrid.observe(Timestamp(frame.time_us or 0, frame.tick or 0))
+        self.recorder.hybrid_clock.observe_timestamp(
+            Timestamp(frame.time_us or 0, frame.tick or 0)
+        )
         self.recorder.bytes_received += LENGTH_PREFIX.size + length
         return frame.exchange, frame.body
 
     def write(self, exchange: int, body: Body) -> None:
         """Write a frame to the send buffer without waiting."""
-        stamp = self.recorder.hybrid.tick()
+        stamp = self.recorder.hybrid_clock.next_timestamp()
         data = encode_frame(Frame(exchange, body, stamp.time_us, stamp.tick))
         self.writer.write(LENGTH_PREFIX.pack(len(data)) + data)
         self.recorder.bytes_sent += LENGTH_PREFIX.size + len(data)
--- a/gypsumshift/operatorapi.py
+++ b/gypsumshift/operatorapi.py
@@ -1,4 +1,4 @@
-"""HTTP API for operators: declarations, status, drains, weights and time line."""
+"""HTTP API for operators: declarations, status, drains, weights and timeline."""
 
 import asyncio
 import hmac
--- a/tests/system.py
+++ b/tests/system.py
@@ -16,7 +16,7 @@
 
 HOST = "127.0.0.1"
 WAIT_TIMEOUT_S = 20.0
-SOURCE = {
+DECLARATIONS = {
     "zones": ["here", "there"],
     "pools": [
         {
@@ -66,7 +66,7 @@
     """
 
     def __init__(self, port):
-        self.target = port
+        self.target_port = port
         self.port = 0
         self.cut_after_sent = self.cut_after_received = None
         self.refuses = self.refuses_after_cut = False
@@ -81,7 +81,9 @@
         if self.refuses:
             writer.transport.abort()
             return
-        inner_reader, inner_writer = await asyncio.open_connection(HOST, self.target)
+        inner_reader, inner_writer = await asyncio.open_connection(
+            HOST, self.target_port
+        )
         self.writers |= {writer, inner_writer}
         await asyncio.gather(
             self.forward(reader, inner_writer, "cut_after_sent"),
@@ -120,7 +122,7 @@
     """Context manager that runs entries, sidecars and stand-ins for backend servers."""
 
     def __init__(self, source=None, engines=1, services=1, entries=1):
-        self.source = source or SOURCE
+        self.source = source or DECLARATIONS
         self.tables = builders.FaultyTables()
         self.platform = builders.platform(self.tables)
         self.counts = (engines, services, entries)
--- a/tests/test_key_commands.py
+++ b/tests/test_key_commands.py
@@ -12,14 +12,14 @@
 from gypsumshift.httpclient import Fetcher
 from gypsumshift.outcomes import Invalid
 from gypsumshift.workspaces import key_digest
-from tests.system import HOST, SOURCE, System
+from tests.system import DECLARATIONS, HOST, System
 
 RUNNER = CliRunner()
 
 
 @pytest.fixture
 def folder(tmp_path):
-    (tmp_path / "deployment.jsonc").write_text(json.dumps(SOURCE))
+    (tmp_path / "deployment.jsonc").write_text(json.dumps(DECLARATIONS))
     return tmp_path
 
 
@@ -79,7 +79,7 @@
 
 def test_two_keys_with_one_digest_are_invalid():
     key = {"workspace": "w", "digest": "0" * 32}
-    value = SOURCE | {"keys": [key | {"name": "a"}, key | {"name": "b"}]}
+    value = DECLARATIONS | {"keys": [key | {"name": "a"}, key | {"name": "b"}]}
     outcome = declarations.parse(value, "declarations")
     assert isinstance(outcome, Invalid)
     assert "the digest is already that of the key 'a'" in str(outcome.problems[0])
@@ -92,7 +92,7 @@
     ]
 
     async def run():
-        async with System(SOURCE | {"keys": keys}) as system:
+        async with System(DECLARATIONS | {"keys": keys}) as system:
             statuses = {}
             for token in ("", "Bearer wrong", "Bearer key-two", "Bearer key-one"):
                 fields = [("authorization", token)] if token else []
