--- a/standins/users_cloud.py
+++ b/standins/users_cloud.py
@@ -1,8 +1,8 @@
-"""Stand-in for the users' platform where it takes calls of duties.
+"""Stand-in for the platform's cloud API, which receives usage reports.
 
-``python -m standins.users_cloud --ip 127.0.0.1 --port 9300``. It takes reports of
-usage, and notes what it must never get. ``GET /seen`` lists all; faults are switched
-on at ``PUT /faults`` with a JSON object of the fields of `Faults`.
+``python -m standins.users_cloud --ip 127.0.0.1 --port 9300``. ``GET /seen`` lists the
+reports received, in which `find_violations` finds what one lease holder at a time would
+never send. ``PUT /faults`` with a JSON object of the fields of `Faults` injects faults.
 """
 
 import asyncio
@@ -22,22 +22,23 @@
 
 __all__ = ["Call", "Faults", "FakeCloudApi", "find_violations"]
 
-# Seconds within which A, B, A may not act in this order.
+# Seconds between the last call of a host and its next one after another host's call: a
+# lease must not return to its former holder sooner.
 MIN_RETURN_S = 3.0
 
 
 @attrs.define
 class Faults:
-    """Switches.
+    """Faults to inject.
 
     Attributes
     ----------
     status : int
-        With which all calls are refused; 0 for none.
+        HTTP status with which all calls are rejected; 0 for none.
     slow : float
-        Seconds before each answer, behind which the call counts.
+        Seconds from recording a report to the response.
     lose : bool
-        Whether calls count and are not answered.
+        Whether reports are recorded and the connection is closed instead of a response.
     """
 
     status: int = 0
@@ -47,15 +48,18 @@
 
 @attrs.frozen
 class Call:
-    """One report as it came.
+    """One usage report received.
 
     Attributes
     ----------
     at : float
         Unix time in seconds.
     host : str
+        Lease holder that sent it.
     fence, window : int
+        Fencing token of the lease, and number of the window.
     counts : dict
+        Requests by workspace.
     """
 
     at: float
@@ -66,18 +70,20 @@
 
 
 async def cut_connection():
-    """Yield nothing: the connection is cut instead of an answer."""
-    raise ResponseAborted("the answer is lost")
+    """Abort the response: the connection is closed before any of it is sent."""
+    raise ResponseAborted("response dropped by an injected fault")
     yield b""
 
 
 class FakeCloudApi:
-    """The platform's interface behind one HTTP server.
+    """The cloud API as an HTTP server.
 
     Attributes
     ----------
+    faults : Faults
     calls : list of Call
-        Those that were taken, in their order.
+        Reports received, in order.
+    server : HttpServer
     """
 
     def __init__(self):
@@ -86,7 +92,7 @@
         self.server = HttpServer(self.serve)
 
     async def serve(self, request: Request) -> Response:
-        """Answer one request."""
+        """Serve one request."""
         if request.path == "/faults":
             self.faults = Faults(**json.loads(request.body))
             return Response(200)
@@ -108,38 +114,44 @@
 
 
 def find_violations(calls: list[Call]) -> list[str]:
-    """Return what one holder at a time would never have sent."""
-    wrong = []
+    """Return what one lease holder at a time would never have sent, one text each.
+
+    These are differing reports of one window, two hosts with one fencing token, a
+    token lower than the one before, and a host that calls again too soon after another.
+    """
+    violations = []
     counts: dict[int, dict] = {}
     hosts: dict[int, str] = {}
     turns: list[Call] = []
-    for before, call in zip([None, *calls], calls, strict=False):
+    for previous, call in zip([None, *calls], calls, strict=False):
         if counts.setdefault(call.window, call.counts) != call.counts:
-            wrong.append(f"two reports of window {call.window}")
+            violations.append(f"different reports of window {call.window}")
         if hosts.setdefault(call.fence, call.host) != call.host:
-            wrong.append(f"two hosts with the number {call.fence}")
-        if before and call.fence < before.fence:
-            wrong.append(f"{call.fence} of {call.host} behind {before.fence}")
+            violations.append(f"two hosts with token {call.fence}")
+        if previous and call.fence < previous.fence:
+            violations.append(
+                f"token {call.fence} of {call.host} after token {previous.fence}"
+            )
         if turns and turns[-1].host == call.host:
             turns[-1] = call
         else:
             turns.append(call)
         if len(turns) > 2 and turns[-3].host == call.host:
-            passed = call.at - turns[-3].at
-            if passed < MIN_RETURN_S:
-                wrong.append(f"{call.host} acts again after {passed:.1f} s")
-    return wrong
+            elapsed = call.at - turns[-3].at
+            if elapsed < MIN_RETURN_S:
+                violations.append(f"{call.host} calls again after {elapsed:.1f} s")
+    return violations
 
 
 async def run(ip: str, port: int) -> None:
-    """Serve until cancelled."""
+    """Run the stand-in until cancelled."""
     cloud = FakeCloudApi()
     await cloud.server.listen(ip, port)
     await asyncio.Event().wait()
 
 
 def main(ip: str = "127.0.0.1", port: int = 9300) -> None:
-    """Run a stand-in for the users' platform."""
+    """Run a stand-in for the platform's cloud API."""
     asyncio.run(run(ip, port))
 
 
--- a/standins/users_documents.py
+++ b/standins/users_documents.py
@@ -1,4 +1,4 @@
-"""Documents of the users' platform, as its operator and its trainers write them."""
+"""Builders for the platform's documents: configuration, batch jobs and settings."""
 
 import base64
 import itertools
@@ -19,9 +19,9 @@
 
 
 def route(name: str, **fields) -> dict:
-    """Return a route whose prefix is its name."""
-    usual = {"host": HOST, "timeout_ms": 3000, "slo_ms": 400, "priority": 1}
-    return {"name": name, "prefix": f"/{name}/", **usual, **fields}
+    """Return a route of the configuration whose prefix is its name."""
+    defaults = {"host": HOST, "timeout_ms": 3000, "slo_ms": 400, "priority": 1}
+    return {"name": name, "prefix": f"/{name}/", **defaults, **fields}
 
 
 def config(
@@ -30,19 +30,19 @@
     slots: int = 4,
     workspaces: dict[str, list[str]] | None = None,
 ) -> dict:
-    """Return a configuration with a plain service and a pool of engines.
+    """Return a configuration with a service ``app`` and a service ``pool`` of engines.
 
     Parameters
     ----------
     version : int
     routes : iterable of dict
-        Beside the usual ones, one of each kind.
+        Added to the default ones, which cover each kind of route.
     slots : int
-        Requests that an engine runs at once.
+        Requests that an engine runs concurrently.
     workspaces : dict or None
-        Keys by the name of each workspace; None where callers send no keys.
+        Keys by the name of their workspace; None if callers need no keys.
     """
-    usual = [
+    default_routes = [
         route("app", kind="safe", service="app", attempts=2),
         route("once", kind="unsafe", service="app", attempts=2),
         route("score", kind="safe", service="app", attempts=4, public=True),
@@ -54,7 +54,7 @@
     services = [{"name": "app"}, {"name": "pool", "engine": engine}]
     value = {
         "version": version,
-        "routes": [*usual, *routes],
+        "routes": [*default_routes, *routes],
         "services": services,
         "limits": {"max_body_bytes": 1_000_000},
     }
@@ -66,19 +66,19 @@
 
 def job_body(job: str, groups: int = 2, size: int = 2, min_version: int = 1) -> bytes:
     """Return the body of a batch job whose items are ``JOB-GROUP-NUMBER``."""
-    places = itertools.product(range(groups), range(size))
+    positions = itertools.product(range(groups), range(size))
     value = {
         "step": 1,
         "model": MODEL,
         "min_version": min_version,
         "target_groups": groups,
-        "requests": [item(job, group, number) for group, number in places],
+        "requests": [item(job, group, number) for group, number in positions],
     }
     return json.dumps(value).encode()
 
 
 def item(job: str, group: int, number: int) -> dict:
-    """Return one item; its body is ``GROUP/NUMBER``."""
+    """Return one item of a batch job; its body is ``GROUP/NUMBER``."""
     name = f"{job}-{group}-{number}"
     return {
         "id": name,
@@ -97,13 +97,13 @@
 
 
 def results_target(job: str, after: int = 0) -> str:
-    """Return where the results of a job are read from a position on."""
+    """Return the target that lists the results of a job from a position on."""
     return f"/gypsumshift/lots/{job}?after={after}"
 
 
 def settings_text(name: str, ip: str, store: tuple[str, int], **fields) -> str:
-    """Return the settings file of one process."""
-    lines = {
+    """Return the text of one process's settings file."""
+    defaults = {
         "node_name": name,
         "zone": "here",
         "ip": ip,
@@ -111,4 +111,4 @@
         "bounds.grace_s": "4",
         "a.new": "field",
     }
-    return "\n".join(f"{key}={value}" for key, value in (lines | fields).items())
+    return "\n".join(f"{key}={value}" for key, value in (defaults | fields).items())
--- a/standins/users_store.py
+++ b/standins/users_store.py
@@ -1,7 +1,7 @@
-"""Stand-in for the users' metadata store: rows in parts, transactions, a feed.
+"""Stand-in for the platform's metadata store: rows, transactions and change feeds.
 
-``python -m standins.users_store --ip 127.0.0.1 --port 9100``. Faults are switched
-on at ``PUT /faults`` with a JSON object of the fields of `Faults`.
+``python -m standins.users_store --ip 127.0.0.1 --port 9100``. ``PUT /faults`` with a
+JSON object of the fields of `Faults` injects faults.
 """
 
 import asyncio
@@ -31,27 +31,28 @@
 
 BASE_PATH = "/gypsumshift/"
 PAGE_SIZE = 500
-# Name under which bytes are kept that are no JSON object, as they came.
+# Field for the value of a row that holds no JSON object, in base64 as received.
 RAW_BYTES_FIELD = "\0raw"
 
 
 @attrs.define
 class Faults:
-    """Switches.
+    """Faults to inject.
 
     Attributes
     ----------
     down : str
-        How it is away: "busy" (503), "silent" or "reset"; empty for not at all.
+        How the store fails: "busy" (status 503), "silent" (no response) or "reset"
+        (closed connections); empty for not at all.
     slow : float
-        Seconds before each answer.
+        Seconds of delay before each call is served.
     lose : float
-        Share of the writes that take effect and are not answered.
+        Share of the transactions that take effect but get no response.
     late : float
-        Seconds by which lost writes take effect later.
+        Seconds after which these take effect.
     answer_late : float
-        Seconds by which answers to writes come after they took effect, while the feed
-        goes on.
+        Seconds from the commit of any other transaction to its response; change feeds
+        list it at once.
     """
 
     down: str = ""
@@ -62,18 +63,27 @@
 
 
 async def cut_connection():
-    """Yield nothing: the connection is cut instead of an answer."""
-    raise ResponseAborted("the answer is lost")
+    """Abort the response: the connection is closed before any of it is sent."""
+    raise ResponseAborted("response dropped by an injected fault")
     yield b""
 
 
 class FakeMetadataStore:
-    """The store behind one HTTP server.
+    """The metadata store as an HTTP server.
 
     Parameters
     ----------
     seed : int
-        Of the random choices.
+        Seed of the random choice of transactions that get no response.
+
+    Attributes
+    ----------
+    tables : MemoryTables
+        Rows and their changes.
+    faults : Faults
+    server : HttpServer
+    late_commits : set of Task
+        Transactions without a response that have not taken effect yet.
     """
 
     def __init__(self, seed: int = 0):
@@ -84,7 +94,7 @@
         self.late_commits: set[asyncio.Task] = set()
 
     async def serve(self, request: Request) -> Response:
-        """Answer one request."""
+        """Serve one request."""
         if request.path == "/faults":
             self.faults = Faults(**json.loads(request.body))
             return Response(200)
@@ -100,12 +110,12 @@
         return await handler(request) if handler else Response(404)
 
     def versioned_response(self, **fields) -> Response:
-        """Return an answer with the newest version and the store's time."""
+        """Return a response with the newest version and the store's time."""
         now = int(time.monotonic() * 1000)
         return json_response(200, {"ver": self.tables.version, "now_ms": now, **fields})
 
     async def serve_rows_tx(self, request: Request) -> Response:
-        """Apply a transaction, or none of it."""
+        """Commit a transaction, or reject it with 412 if a condition does not hold."""
         value = json.loads(request.body)
         writes = decode_transaction(value)
         if self.rng.random() < self.faults.lose:
@@ -115,20 +125,20 @@
             return Response(200, [], cut_connection())
         outcome = await self.tables.commit(writes)
         if isinstance(outcome, Committed):
-            # Made before the pause: its version is that of this transaction.
-            answer = self.versioned_response()
+            # Built before the delay, so that its version is that of this transaction.
+            response = self.versioned_response()
         else:
-            answer = Response(412, [], json.dumps({"rows": []}).encode())
+            response = Response(412, [], json.dumps({"rows": []}).encode())
         await asyncio.sleep(self.faults.answer_late)
-        return answer
+        return response
 
     async def commit_late(self, writes: list[Write]) -> None:
-        """Apply a transaction whose answer is lost, at once or later."""
+        """Commit a transaction that gets no response, after ``faults.late`` seconds."""
         await asyncio.sleep(self.faults.late)
         await self.tables.commit(writes)
 
     async def serve_rows_get(self, request: Request) -> Response:
-        """Return rows of a part."""
+        """Return a page of a part's rows."""
         table, part = request.parameter("table"), request.parameter("part")
         rows = await self.tables.scan(table, "", part)
         start = urllib.parse.unquote(request.parameter("from"))
@@ -141,35 +151,35 @@
     async def serve_rows_parts(self, request: Request) -> Response:
         """Return the parts of a table."""
         table, after = request.parameter("table"), request.parameter("after")
-        parts = {place[1] for place in self.tables.rows if place[0] == table}
+        parts = {row_id[1] for row_id in self.tables.rows if row_id[0] == table}
         return self.versioned_response(
             parts=sorted(p for p in parts if p > after), has_more=False
         )
 
     async def serve_rows_feed(self, request: Request) -> Response:
-        """Return what changed in a table."""
+        """Return the changes of a table after a version; 410 if they are dropped."""
         table, after = request.parameter("table"), int(request.parameter("after"))
-        asked = float(request.parameter("wait_ms", "0")) / 1000
-        wait = min(datetime.timedelta(seconds=asked), MAX_FEED_WAIT)
-        answer = await self.tables.changes(table, after, wait)
-        if isinstance(answer, HistoryLost):
+        wait_s = float(request.parameter("wait_ms", "0")) / 1000
+        wait = min(datetime.timedelta(seconds=wait_s), MAX_FEED_WAIT)
+        changes = await self.tables.changes(table, after, wait)
+        if isinstance(changes, HistoryLost):
             return Response(410)
         return self.versioned_response(
-            rows=[encode_row(row) for row in answer.rows], ver=answer.version
+            rows=[encode_row(row) for row in changes.rows], ver=changes.version
         )
 
     async def write_row(self, table: str, key: str, value: dict | None) -> None:
-        """Write a row as the operator or a backend server does."""
+        """Write a row, or remove it (value None), without a condition."""
         await self.tables.commit([Write(table, key, value)])
 
     async def read_row(self, table: str, key: str, part: str = "") -> Row | None:
-        """Return a row."""
+        """Return a row; None if there is none."""
         row = await self.tables.read(table, key, part)
         return None if isinstance(row, Missing) else row
 
 
 def decode_transaction(value: dict) -> list[Write]:
-    """Return the writes of a transaction."""
+    """Return the writes of a transaction from its JSON form."""
     expected = {row_id(e): e["ver"] for e in value["expected"]}
     writes = []
     for entry in value["writes"]:
@@ -197,12 +207,12 @@
 
 
 def row_id(entry: dict) -> tuple[str, str, str]:
-    """Return table, part and key of an entry."""
+    """Return the table, part and key of one entry of a transaction."""
     return entry["table"], entry.get("part", ""), entry["key"]
 
 
 def encode_row(row: Row) -> dict:
-    """Return a row as it goes over the wire."""
+    """Return the JSON form of a row."""
     value = {"table": row.table, "part": row.part, "key": row.key, "ver": row.version}
     if row.value is None:
         return value | {"tombstone": True}
@@ -213,14 +223,14 @@
 
 
 async def run(ip: str, port: int, seed: int) -> None:
-    """Serve until cancelled."""
+    """Run the stand-in until cancelled."""
     store = FakeMetadataStore(seed)
     await store.server.listen(ip, port)
     await asyncio.Event().wait()
 
 
 def main(ip: str = "127.0.0.1", port: int = 9100, seed: int = 0) -> None:
-    """Run a stand-in for the users' metadata store."""
+    """Run a stand-in for the platform's metadata store."""
     asyncio.run(run(ip, port, seed))
 
 
--- a/standins/users_worker.py
+++ b/standins/users_worker.py
@@ -1,7 +1,7 @@
-"""Stand-in for a worker of the users' platform: a plain service or a model engine.
+"""Stand-in for one of the platform's backend servers: plain service or model engine.
 
 ``python -m standins.users_worker --ip 127.0.0.1 --port 9200 --service app --store
-127.0.0.1:9100``. ``GET /runs`` lists what it ran, for history checks.
+127.0.0.1:9100``. ``GET /runs`` lists the requests that it ran, for checks of a history.
 """
 
 import asyncio
@@ -27,58 +27,72 @@
 
 __all__ = ["FakeWorker", "event_text", "plain_answer", "put_row"]
 
+# Time between two writes of a worker's entry in the servers table.
 HEARTBEAT_PERIOD_S = 0.6
+# Time that an engine takes to load weights.
 LOAD_TIME_S = 0.3
-# Seconds into a request under which a worker ends.
+# Time from the arrival of a request that crashes the worker to the crash.
 CRASH_DELAY_S = 0.1
 NOT_RUN_HEADERS = [("not-run", "1")]
 
 
 def event_text(item: str, number: int) -> str:
-    """Return the data of one event of an item: the same at every engine."""
+    """Return the data of one event of an item, which is the same at every engine."""
     return hashlib.sha256(f"{item}/{number}".encode()).hexdigest()[:24]
 
 
 async def cut_connection():
-    """Yield nothing: the connection is cut instead of an answer."""
-    raise ResponseAborted("the answer is lost")
+    """Abort the response: the connection is closed before its body is sent."""
+    raise ResponseAborted("response dropped by an injected fault")
     yield b""
 
 
 def plain_answer(request_id: str) -> bytes:
-    """Return the body with which a service answers a request."""
+    """Return the response body of a plain service to a request."""
     return hashlib.sha256(request_id.encode()).hexdigest().encode()
 
 
 class FakeWorker:
-    """One worker.
+    """A backend server of the platform.
 
     Parameters
     ----------
     service : str
+        Name of the service that it provides.
     models : tuple of str
-        Empty for a plain service.
+        Models of an engine; empty for a plain service.
     slots : int
+        Requests that it runs concurrently; further ones are rejected as not run.
     events : int
-        Events of an item.
+        Events in the stream of each request to an engine.
     pause : float
-        Seconds of work for a request, and between two events.
+        Seconds of work for a request, or before each event of a stream.
 
     Attributes
     ----------
     id : str
     born : int
-        Unix millisecond of its start.
-    beats : int
-        Times that its entry was written.
-    breaks : list of int
-        Events inside which the next streams break off.
+        Time of its start, in Unix milliseconds.
+    entry_writes : int
+        Number of times that its entry was written.
+    running : int
+        Requests running now.
+    orders : int
+        Number of orders accepted since its start.
+    busy : bool
+        Whether an order is being carried out.
+    runs : list of dict
+        Requests that it ran, and orders that it accepted.
+    run_log : file or None
+        File to which these are also written, since it outlives the process.
+    break_at_events : list of int
+        Numbers of the events in the middle of which the next streams break off.
     loses_answers : bool
-        Whether requests are run and their connections cut instead of an answer.
+        Whether requests are run and their connections closed instead of a response.
     fatal : bytes
-        Bodies that hold it end the worker; empty for none.
+        Requests whose body contains it crash the worker; empty for none.
     on_fatal : callable
-        Ends it; the process, unless a test has another way.
+        Crashes the worker; by default ends the process.
     """
 
     def __init__(self, service, models=(), slots=6, events=4, pause=0.02):
@@ -103,7 +117,7 @@
         self.server = HttpServer(self.serve)
 
     def restart(self) -> None:
-        """Become another start under the same id, which knows nothing of before."""
+        """Start again under the same id, without any state of the previous start."""
         self.born = max(int(time.time() * 1000), self.born + 1)
         self.entry_writes = 0
         self.orders = 0
@@ -111,7 +125,7 @@
         self.state = "ready"
 
     async def serve(self, request: Request) -> Response:
-        """Answer one request."""
+        """Serve one request."""
         if request.path == "/runs":
             return json_response(200, {"id": self.id, "runs": self.runs})
         if request.path == "/drain":
@@ -119,8 +133,8 @@
             return Response(200)
         if request.path == "/gypsumshift/report":
             return json_response(200, self.report())
-        wanted = request.header("expect-instance")
-        if wanted and wanted != self.id:
+        expected_id = request.header("expect-instance")
+        if expected_id and expected_id != self.id:
             return Response(421, [("instance-id", self.id)])
         if request.path == "/gypsumshift/order":
             return await self.accept_order(json.loads(request.body))
@@ -129,14 +143,14 @@
         return await self.run_request(request)
 
     def record_run(self, run: dict) -> None:
-        """Keep what is run, also on a file that outlives the process."""
+        """Record a run or an order, also in the log file if there is one."""
         self.runs.append(run)
         if self.run_log is not None:
             self.run_log.write(json.dumps(run) + "\n")
             self.run_log.flush()
 
     def report(self) -> dict:
-        """Return what the worker says of itself."""
+        """Return the report that an agent reads."""
         models = [{"name": n, "version": v} for n, v in self.models.items()]
         return {
             "stage": "mixed",
@@ -149,7 +163,7 @@
         }
 
     async def accept_order(self, order: dict) -> Response:
-        """Take an order to load weights."""
+        """Accept an order to load weights, or reject it."""
         if "holder" not in order or "fence" not in order:
             return Response(400, NOT_RUN_HEADERS)
         if self.busy or order.get("expected", self.orders) != self.orders:
@@ -161,12 +175,12 @@
         return Response(202)
 
     def finish_load(self, order: dict) -> None:
-        """Have the weights of an order in place."""
+        """Put the weights of an order in use."""
         self.busy = False
         self.models[order["model"]] = order["version"]
 
     async def run_request(self, request: Request) -> Response:
-        """Run a request."""
+        """Run a request, and return its response or stream."""
         request_id = request.header("request-id")
         after = int(request.header("last-event-id", "0"))
         run = {"request": request_id, "at": time.time(), "after": after, "end": ""}
@@ -198,30 +212,30 @@
         return Response(200, headers, self.stream_events(run, request_id, after, model))
 
     async def stream_events(self, run: dict, item: str, after: int, model: str):
-        """Yield the events of an item."""
+        """Yield the events after ``after``, naming the weight version if it changes."""
         version = self.models[model]
         self.running += 1
         try:
             for number in range(after + 1, self.events + 1):
                 await asyncio.sleep(self.pause)
-                changed = ""
+                version_line = ""
                 if self.models[model] != version:
                     version = self.models[model]
-                    changed = f"weight-versions: {version}\n"
+                    version_line = f"weight-versions: {version}\n"
                 text = event_text(item, number)
                 if self.break_at_events and self.break_at_events[0] == number:
                     del self.break_at_events[0]
                     yield f"id: {number}\ndata: {text[:5]}".encode()
-                    raise ResponseAborted("broken off")
-                yield f"{changed}id: {number}\ndata: {text}\n\n".encode()
+                    raise ResponseAborted("stream broken off by an injected fault")
+                yield f"{version_line}id: {number}\ndata: {text}\n\n".encode()
             run["end"] = "whole"
         except GeneratorExit:
-            raise ResponseAborted("the caller left") from None
+            raise ResponseAborted("the caller closed the connection") from None
         finally:
             self.running -= 1
 
     def table_entry(self, address: str) -> dict:
-        """Return what the worker writes of itself into the store."""
+        """Return the worker's next entry for the servers table."""
         self.entry_writes += 1
         return {
             "born": self.born,
@@ -238,9 +252,9 @@
 
 
 async def put_row(fetcher: Fetcher, store: tuple[str, int], row: tuple) -> bool:
-    """Write a row, given as table, key and value; return whether the store took it.
+    """Write a row (table, key, value); return whether the store committed it.
 
-    A value of bytes is written as it is.
+    A value that is bytes is written unchanged, any other as JSON.
     """
     table, key, value = row
     raw = value if isinstance(value, bytes) else json.dumps(value).encode()
@@ -252,13 +266,13 @@
             store, "POST", "/gypsumshift/rows-tx", [], body, 2.0
         )
     except FetchError as error:
-        print(f"the store does not take {table}/{key}: {error}", flush=True)
+        print(f"cannot write {table}/{key} to the store: {error}", flush=True)
         return False
     return answer.status == 200
 
 
 async def run(worker: FakeWorker, ip: str, port: int, store: str) -> None:
-    """Serve, and register in the store, until cancelled."""
+    """Serve requests and keep the worker's entry in the store, until cancelled."""
     await worker.server.listen(ip, port)
     fetcher = Fetcher()
     store_address = parse_address(store)
@@ -279,10 +293,10 @@
     name: str = "",
     fatal: str = "",
 ) -> None:
-    """Run a stand-in for a worker; ``models`` are separated by commas.
+    """Run a stand-in for a backend server; ``models`` are separated by commas.
 
-    With a ``name``, each start has it for its id. Requests whose bodies hold the text
-    ``fatal`` end it.
+    ``name`` is its id at each start; without it the id is random. ``runs`` is a file to
+    which its runs are appended. A request whose body contains ``fatal`` crashes it.
     """
     names = tuple(models.split(",")) if models else ()
     worker = FakeWorker(service, names, slots)
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -383,10 +383,10 @@
         Told(2.0, "b", 1, 9, {}),
     ]
     assert find_violations(calls) == [
-        "two reports of window 7",
-        "two hosts with the number 2",
-        "two hosts with the number 1",
-        "1 of b behind 2",
-        "b acts again after 1.0 s",
+        "different reports of window 7",
+        "two hosts with token 2",
+        "two hosts with token 1",
+        "token 1 of b after token 2",
+        "b calls again after 1.0 s",
     ]
     assert not find_violations([calls[0], calls[0]])
