--- a/tests/platform_cluster.py
+++ b/tests/platform_cluster.py
@@ -1,4 +1,4 @@
-"""Builders for tests of the platform's adapter: the whole path over loopback."""
+"""In-process deployment on the platform's stand-ins, for tests over loopback."""
 
 import asyncio
 import functools
@@ -20,7 +20,7 @@
 
 
 def crash_worker(worker):
-    """End a worker as its process would: nobody listens, all connections break."""
+    """Close a worker's listener and connections, as the crash of its process would."""
     worker.server.listener.close()
     for task in worker.server.connections:
         task.cancel()
@@ -28,7 +28,21 @@
 
 @attrs.define
 class PlatformCluster:
-    """The users' platform with one gateway and one agent, in one process."""
+    """A stand-in platform with one gateway and one agent, all in one process.
+
+    Attributes
+    ----------
+    store : FakeMetadataStore
+    app, engine : FakeWorker
+        Backend servers of the services ``app`` (plain) and ``pool`` (model engine).
+    tasks : list of Task
+        Of the gateway and the agent.
+    store_port : int
+    front_address, ready_address : (str, int)
+        Where the gateway serves callers, and where it serves readiness checks.
+    extra_settings : dict
+        Added to the settings of both processes.
+    """
 
     store: FakeMetadataStore = attrs.field(factory=FakeMetadataStore)
     app: FakeWorker = attrs.field(factory=lambda: FakeWorker("app"))
@@ -40,11 +54,10 @@
     ready_address: tuple = ()
     gateway: object = None
     agent: object = None
-    # Of the settings of both processes, beside the usual ones.
     extra_settings: dict = attrs.field(factory=dict)
 
     async def start(self, tmp_path):
-        """Start everything; returns once callers are served."""
+        """Start the deployment; return once the gateway is ready."""
         import main
         import node_settings
 
@@ -54,22 +67,26 @@
             await self.register(worker)
         engine_port = self.engine.server.listener.sockets[0].getsockname()[1]
         store = ("127.0.0.1", self.store_port)
-        listen = self.extra_settings | {
+        gateway_settings = self.extra_settings | {
             "listen.front": "127.0.0.1:0",
             "listen.ready": "127.0.0.1:0",
         }
-        listen["listen.control"] = f"127.0.0.1:{free_port()}"
-        front = tmp_path / "front.conf"
-        front.write_text(settings_text("front", "127.0.0.1", store, **listen))
-        self.gateway = main.new_gateway(node_settings.load(front))
-        engine = self.extra_settings | {
+        gateway_settings["listen.control"] = f"127.0.0.1:{free_port()}"
+        gateway_file = tmp_path / "front.conf"
+        gateway_file.write_text(
+            settings_text("front", "127.0.0.1", store, **gateway_settings)
+        )
+        self.gateway = main.new_gateway(node_settings.load(gateway_file))
+        agent_settings = self.extra_settings | {
             "app": f"127.0.0.1:{engine_port}",
             "service": "pool",
         }
-        engine["port_range"] = f"{free_port()},0"
-        side = tmp_path / "side.conf"
-        side.write_text(settings_text("side", "127.0.0.1", store, **engine))
-        self.agent = main.new_agent(node_settings.load(side))
+        agent_settings["port_range"] = f"{free_port()},0"
+        agent_file = tmp_path / "side.conf"
+        agent_file.write_text(
+            settings_text("side", "127.0.0.1", store, **agent_settings)
+        )
+        self.agent = main.new_agent(node_settings.load(agent_file))
         for node in (self.gateway, self.agent):
             self.tasks.append(asyncio.create_task(node.run()))
         while not self.gateway.ready or not self.gateway.directory.servers:
@@ -81,6 +98,7 @@
         return self
 
     async def register(self, worker):
+        """Write a worker's entry into the servers table; make it listen before."""
         if worker.server.listener is None:
             await worker.server.listen("127.0.0.1", 0)
         port = worker.server.listener.sockets[0].getsockname()[1]
@@ -89,7 +107,7 @@
         )
 
     async def add_crashing_workers(self, count, fatal=b"fatal"):
-        """Add workers of the application, each of which ends under a body."""
+        """Add workers of ``app`` that crash at a request whose body has ``fatal``."""
         workers = [FakeWorker("app") for _ in range(count)]
         for worker in workers:
             worker.fatal = fatal
@@ -98,7 +116,7 @@
         return workers
 
     async def send_request(self, method, target, request_id="r1", body=b"", **headers):
-        """Send a request to the gateway, return its answer."""
+        """Send a request to the gateway; return the exchange and the response body."""
         fields = [("request-id", request_id)]
         fields += [(k.replace("_", "-"), v) for k, v in headers.items()]
         exchange = await self.fetcher.open(
@@ -109,7 +127,7 @@
         return exchange, content
 
     async def read_results(self, job="job"):
-        """Read all results of a job, page by page."""
+        """Read all results of a job page by page, waiting for those to come."""
         found, total = [], 1
         while len(found) < total:
             target = results_target(job, len(found))
@@ -122,7 +140,7 @@
         return found
 
     async def wait_for_results(self, count, job="job"):
-        """Return the results of a job, once so many are listed."""
+        """Return the results of a job once at least ``count`` are listed."""
         while True:
             exchange, content = await self.send_request("GET", results_target(job))
             results = json.loads(content)["results"]
@@ -131,26 +149,27 @@
             await asyncio.sleep(0.02)
 
     async def close(self):
+        """Stop the gateway and the agent."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-def gateway_lists(world, worker):
-    """Tell whether the gateway knows a worker."""
-    return worker.id in world.gateway.directory.servers
+def gateway_lists(cluster, worker):
+    """Return whether a worker is in the gateway's directory."""
+    return worker.id in cluster.gateway.directory.servers
 
 
 def run_scenario(test, tmp_path):
-    """Run a scenario on a world of its own."""
+    """Run a test scenario on a new deployment, for at most 60 s."""
 
     async def run():
-        world = PlatformCluster()
+        cluster = PlatformCluster()
         try:
             async with asyncio.timeout(60):
-                await world.start(tmp_path)
-                await test(world)
+                await cluster.start(tmp_path)
+                await test(cluster)
         finally:
-            await world.close()
+            await cluster.close()
 
     asyncio.run(run())
--- a/tests/test_server_entry.py
+++ b/tests/test_server_entry.py
@@ -1,7 +1,7 @@
-"""Entries of the platform's table of servers, also those of other writers.
+"""Decoding of valid and invalid entries of the servers table.
 
-One invariant: an entry names a server or none, never ends the reader, and never takes
-the entries beside it along.
+Invariant: an entry yields one valid server or none, raises no error, and does not
+affect other entries.
 """
 
 import base64
@@ -14,7 +14,7 @@
 
 from gypsumshift.platforms import Changes, Row
 from gypsumshift.serving import Directory
-from tests import platform_cluster  # noqa: F401  (puts the adapter on the path)
+from tests import platform_cluster  # noqa: F401  (adds the adapter's folder to sys.path)
 from tests.builders import ManualClock
 from tests.job_builders import engine_table_entry
 
@@ -31,7 +31,7 @@
 
 
 def apply_rows(feed, *rows):
-    """Tell changes as the store sends them: the key with its bytes."""
+    """Apply changes, given as keys and raw values, in the form that the store sends."""
     import row_store
 
     raw = [
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("data", INVALID_ENTRIES)
-def test_a_foreign_entry_names_no_server_and_those_beside_it_hold(data):
+def test_an_invalid_entry_yields_no_server_and_other_entries_apply(data):
     directory, feed = make_feed()
     apply_rows(feed, ("e1", encoded(engine_table_entry())))
     assert set(directory.servers) == {"e1"}
@@ -111,7 +111,7 @@
     assert set(directory.servers) == {"e1", "e2"}
 
 
-def test_an_entry_without_a_start_is_foreign_once_its_server_told_one():
+def test_an_entry_without_start_time_is_invalid_after_one_with_it():
     directory, feed = make_feed()
     apply_rows(feed, ("e1", encoded(engine_table_entry())))
     apply_rows(feed, ("e1", encoded(engine_table_entry(born=5))))
@@ -120,7 +120,7 @@
     assert not directory.servers
 
 
-def test_a_foreign_entry_is_said_once_for_each_reason():
+def test_the_reason_of_an_invalid_entry_is_kept_until_a_valid_one():
     directory, feed = make_feed()
     for number in range(3):
         apply_rows(feed, ("e1", encoded(engine_table_entry(slots="x", seq=number))))
@@ -141,7 +141,7 @@
 
 @st.composite
 def mutated(draw):
-    """Return the bytes of an entry of which something is changed."""
+    """Return an entry's bytes with some fields changed or removed, or cut off."""
     value = copy.deepcopy(
         engine_table_entry(born=9, models=[{"name": "m", "version": 2}])
     )
@@ -158,7 +158,7 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True, database=None)
 @given(mutated() | st.binary(max_size=40))
-def test_whatever_stands_in_an_entry_it_names_a_server_or_none(data):
+def test_any_bytes_of_an_entry_yield_a_valid_server_or_none(data):
     directory, feed = make_feed()
     apply_rows(
         feed, ("e1", encoded(engine_table_entry(born=9))), ("e3", encoded(OTHER))
@@ -175,7 +175,7 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True, database=None)
 @given(st.dictionaries(st.text(max_size=8), JSON, max_size=4))
-def test_a_foreign_document_of_the_operator_ends_nothing(value):
+def test_an_invalid_operator_document_does_not_stop_later_ones(value):
     directory, feed = make_feed()
     rows = [
         Row("op", key, 1, value | known)
