--- a/gypsumshift/weightpublisher.py
+++ b/gypsumshift/weightpublisher.py
@@ -1,6 +1,6 @@
 """Publication: naming a new weight version to everyone."""
 
-from gypsumshift.outcomes import Committed, Missing, Unavailable, Unknown, Written
+from gypsumshift.outcomes import Committed, Missing, Unavailable, Unknown, WriteOutcome
 from gypsumshift.platforms import ABSENT, Write
 from gypsumshift.poller import WEIGHTS_PREFIX
 from gypsumshift.process import Process
@@ -23,7 +23,9 @@
         self.process = process
         self.tables = process.platform.tables
 
-    async def publish(self, pool: str, version: int, data: bytes, by: str) -> Written:
+    async def publish(
+        self, pool: str, version: int, data: bytes, by: str
+    ) -> WriteOutcome:
         """Store the weights, then name the version; doing it twice is harmless.
 
         Parameters
@@ -40,13 +42,15 @@
         for _ in range(MAX_TRIES):
             outcome = await self.set_newest_version(pool, version, by)
             if isinstance(outcome, Committed):
-                self.process.set_target(pool, version)
+                self.process.set_target_version(pool, version)
                 return outcome
             if isinstance(outcome, Unavailable):
                 return outcome
         return Unknown("the platform's answer was lost")
 
-    async def set_newest_version(self, pool: str, version: int, by: str) -> Written:
+    async def set_newest_version(
+        self, pool: str, version: int, by: str
+    ) -> WriteOutcome:
         """Name a version as the newest of a pool, where it is."""
         key = WEIGHTS_PREFIX + pool
         row = await self.tables.read(HEADS_TABLE, key)
