--- a/standins/users_documents.py
+++ b/standins/users_documents.py
@@ -109,6 +109,7 @@
         "ip": ip,
         "platform.addr": f"{store[0]}:{store[1]}",
         "bounds.grace_s": "4",
+        # An unknown name, which must be ignored.
         "a.new": "field",
     }
     return "\n".join(f"{key}={value}" for key, value in (defaults | fields).items())
--- a/tests/test_platform_keys.py
+++ b/tests/test_platform_keys.py
@@ -100,7 +100,7 @@
 
 
 def test_a_batch_job_does_not_exist_for_another_workspace(tmp_path):
-    """It can neither read nor end the job, and may use the same id."""
+    """Another workspace can neither read nor end the job, but may use its id."""
 
     async def scenario(cluster):
         await configure_keys(cluster)
