--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -11,7 +11,7 @@
 from standins.users_store import RAW_BYTES_FIELD, Faults
 from standins.users_worker import FakeWorker, event_text, plain_answer
 from tests.platform_cluster import run_scenario
-from tests.system import until
+from tests.system import wait_until
 
 
 def test_a_request_is_forwarded_and_its_response_returned(tmp_path):
@@ -91,7 +91,7 @@
     async def scenario(cluster):
         other = FakeWorker("app")
         await cluster.register(other)
-        await until(lambda: other.id in cluster.gateway.directory.servers)
+        await wait_until(lambda: other.id in cluster.gateway.directory.servers)
         cluster.app.loses_answers = other.loses_answers = True
         exchange, _ = await cluster.send_request("POST", "/once/1", "only")
         assert exchange.status == 502, (
@@ -115,10 +115,10 @@
         lost = asyncio.create_task(
             cluster.send_request("POST", "/batch/1", "job", job_body("job"))
         )
-        await until(
+        await wait_until(
             lambda: cluster.store.tables.version and not cluster.store.late_commits
         )
-        await until(lambda: ("jobs", "job", "job") in cluster.store.tables.rows)
+        await wait_until(lambda: ("jobs", "job", "job") in cluster.store.tables.rows)
         cluster.store.faults = Faults()
         exchange, _ = await lost
         assert exchange.status == 202, (
@@ -139,7 +139,7 @@
     async def scenario(cluster):
         other = FakeWorker("pool", ("m",))
         await cluster.register(other)
-        await until(lambda: other.id in cluster.gateway.directory.servers)
+        await wait_until(lambda: other.id in cluster.gateway.directory.servers)
         # The first worker that gets the request breaks off in its third event.
         cluster.engine.break_at_events = other.break_at_events = [3]
         exchange, body = await cluster.send_request("POST", "/resumed/1", "s1")
@@ -166,14 +166,14 @@
     async def scenario(cluster):
         added = route("new", kind="safe", service="app")
         await cluster.store.write_row("op", "config", config(5, [added]))
-        await until(lambda: cluster.gateway.directory.routes.version == 5)
+        await wait_until(lambda: cluster.gateway.directory.routes.version == 5)
         exchange, _ = await cluster.send_request("POST", "/new/1", "n1")
         assert exchange.status == 200
         await cluster.store.write_row("op", "config", config(4))
         await cluster.store.write_row("op", "broken", {"version": "?"})
         await cluster.store.write_row("op", "config", {"version": 9})
         await cluster.store.write_row("op", "config", config(10, [added]))
-        await until(lambda: cluster.gateway.directory.routes.version == 10)
+        await wait_until(lambda: cluster.gateway.directory.routes.version == 10)
 
     run_scenario(scenario, tmp_path)
 
@@ -185,7 +185,7 @@
         await cluster.store.write_row("op", "config", config(5, [added]))
         cluster.store.tables.drop_history()
         cluster.store.faults = Faults()
-        await until(lambda: cluster.gateway.directory.routes.version == 5)
+        await wait_until(lambda: cluster.gateway.directory.routes.version == 5)
 
     run_scenario(scenario, tmp_path)
 
@@ -196,7 +196,7 @@
         await cluster.register(other)
         cluster.app.state = "draining"
         await cluster.register(cluster.app)
-        await until(
+        await wait_until(
             lambda: (
                 [s.id for s in cluster.gateway.directory.ready_servers("app")]
                 == [other.id]
@@ -213,7 +213,7 @@
     async def scenario(cluster):
         cluster.app.pause = 0.4
         running = asyncio.create_task(cluster.send_request("POST", "/app/1", "last"))
-        await until(lambda: cluster.app.runs)
+        await wait_until(lambda: cluster.app.runs)
         draining = asyncio.create_task(cluster.gateway.drain(2.0))
         await asyncio.sleep(0)
         exchange = await cluster.fetcher.open(
@@ -303,9 +303,9 @@
 def test_a_gateway_cut_off_from_the_store_calls_it_through_the_agent(tmp_path):
     async def scenario(cluster):
         path = cluster.gateway.store.path
-        await until(lambda: path.neighbours)
+        await wait_until(lambda: path.neighbours)
         path.store = ("127.0.0.1", 1)
-        await until(lambda: path.via is not None)
+        await wait_until(lambda: path.via is not None)
         exchange, _ = await cluster.send_request(
             "POST", "/batch/", "job", job_body("job")
         )
@@ -313,7 +313,7 @@
         assert len(await cluster.read_results()) == 4
         assert cluster.gateway.ready
         path.store = ("127.0.0.1", cluster.store_port)
-        await until(lambda: path.via is None)
+        await wait_until(lambda: path.via is None)
 
     run_scenario(scenario, tmp_path)
 
@@ -325,12 +325,12 @@
             "POST", "/batch/1", "job", job_body("job")
         )
         assert exchange.status == 202
-        await until(lambda: len(cluster.engine.runs) == 4)
+        await wait_until(lambda: len(cluster.engine.runs) == 4)
         before = {run["request"] for run in cluster.engine.runs}
         cluster.engine.restart()
         await cluster.register(cluster.engine)
         # The items run again at once, from the events received before the restart.
-        await until(lambda: len(cluster.engine.runs) == 8)
+        await wait_until(lambda: len(cluster.engine.runs) == 8)
         again = cluster.engine.runs[4:]
         assert {run["request"] for run in again} == before
         results = await cluster.read_results()
--- a/tests/test_positions.py
+++ b/tests/test_positions.py
@@ -5,7 +5,7 @@
 
 from soak.positions import PositionChecker
 from standins.users_store import FakeMetadataStore, Faults
-from tests.system import until
+from tests.system import wait_until
 
 
 def page(*items):
@@ -64,7 +64,7 @@
         store = FakeMetadataStore()
         store.faults = Faults(answer_late=0.2)
         pending = asyncio.create_task(store.serve_rows_tx(TransactionRequest("first")))
-        await until(lambda: store.tables.version)
+        await wait_until(lambda: store.tables.version)
         assert not pending.done(), "the write must take effect before its response"
         await store.write_row("t", "other", {})
         response = await pending
@@ -81,6 +81,6 @@
         store.faults = Faults(lose=1.0, late=0.1, answer_late=60.0)
         await store.serve_rows_tx(TransactionRequest("lost"))
         assert store.tables.version == 0
-        await until(lambda: store.tables.version)
+        await wait_until(lambda: store.tables.version)
 
     asyncio.run(scenario())
