--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -387,10 +387,10 @@
         ReceivedReport(2.0, "b", 1, 9, {}),
     ]
     assert find_violations(calls) == [
-        "two reports of window 7",
-        "two hosts with the number 2",
-        "two hosts with the number 1",
-        "1 of b behind 2",
-        "b acts again after 1.0 s",
+        "different reports of window 7",
+        "two hosts with token 2",
+        "two hosts with token 1",
+        "token 1 of b after token 2",
+        "b calls again after 1.0 s",
     ]
     assert not find_violations([calls[0], calls[0]])
