--- a/gypsumshift/backend.py
+++ b/gypsumshift/backend.py
@@ -1,9 +1,9 @@
-"""Backend: the backend server beside a sidecar, its state and its weights."""
+"""Client of the backend server beside a sidecar, and the fence for its orders."""
 
 from gypsumshift import logs
 from gypsumshift.clock import Clock
-from gypsumshift.dialects import DIALECTS, Dialect, State
-from gypsumshift.events import Recorder
+from gypsumshift.dialects import DIALECTS, BackendState, Dialect
+from gypsumshift.events import EventRecorder
 from gypsumshift.generated.declarations import Pool
 from gypsumshift.httpclient import Fetcher, FetchError
 from gypsumshift.outcomes import Committed, Conflict, Missing, Unavailable
@@ -11,68 +11,80 @@
 
 __all__ = ["Backend", "Fence"]
 
-STATE_TIMEOUT = 2.0
+STATE_TIMEOUT_S = 2.0
+# An order to load weights times out after this multiple of the pool's swap allowance.
 LATE_ORDER_FACTOR = 5.0
 BACKENDS_TABLE = "backends"
-FENCE_PERIOD = 1.0
+# Pause between attempts to acquire the fence while the platform is down.
+FENCE_RETRY_PERIOD_S = 1.0
 
 log = logs.logger("backend")
 
 
 class Backend:
-    """One backend server, as its sidecar asks and orders it.
+    """Client by which a sidecar reads its backend server's state and loads weights.
 
     Parameters
     ----------
     address : (str, int)
     pool : Pool
-        Declaration of its pool.
+        Declaration of the server's pool.
     fetcher : Fetcher
-    recorder : Recorder
+    recorder : EventRecorder
     name : str
+
+    Attributes
+    ----------
+    state : BackendState
+        State by the last report; unhealthy before the first.
+    swapping : bool
+        Whether an order to load weights is under way.
+    failed_swaps : int
+        Orders in a row after which the server did not report the version ordered.
     """
 
     def __init__(self, address, pool: Pool, fetcher: Fetcher, recorder, name: str):
         self.address = address
         self.pool = pool
         self.fetcher = fetcher
-        self.recorder: Recorder = recorder
+        self.recorder: EventRecorder = recorder
         self.name = name
-        self.state = State(False)
+        self.state = BackendState(False)
         self.swapping = False
         self.failed_swaps = 0
 
     @property
     def dialect(self) -> Dialect:
-        """How it reports and takes orders."""
+        """Dialect that the pool declares."""
         return DIALECTS[self.pool.dialect]
 
-    async def ask(self) -> State:
-        """Ask for its state now."""
+    async def fetch_state(self) -> BackendState:
+        """Request the server's state, store and return it; no answer is unhealthy."""
         try:
             answer = await self.fetcher.fetch(
-                self.address, "GET", self.dialect.state_target, timeout=STATE_TIMEOUT
+                self.address, "GET", self.dialect.state_target, timeout=STATE_TIMEOUT_S
             )
             state = self.dialect.parse_state(answer.status, answer.body)
         except FetchError:
-            state = State(False)
+            state = BackendState(False)
         if state.healthy != self.state.healthy:
             kind = "healthy" if state.healthy else "unhealthy"
-            self.recorder.note(kind, self.name, "by its own report")
+            self.recorder.record(kind, self.name, "by its own report")
         self.state = state
         return state
 
     async def load_weights(self, version: int, fence: int) -> bool:
-        """Order it to load a version; return whether it then reports that version.
+        """Order the server to load a version; return whether it then reports it.
 
-        An order whose answer is late or lost counts for nothing: what it reports
-        afterwards decides.
+        The answer to the order may be late or lost, so only the version that the
+        server reports afterwards decides. Nothing is sent in a dialect without weights,
+        which returns True.
         """
-        order = self.dialect.load_order(self.pool.name, version, fence)
+        order = self.dialect.weight_load_order(self.pool.name, version, fence)
         if order is None:
             return True
         self.swapping = True
-        self.recorder.note("load", self.name, f"version {version} fence {fence}")
+        self.recorder.record("load", self.name, f"version {version} fence {fence}")
         try:
             await self.fetcher.fetch(
                 self.address,
@@ -83,19 +95,27 @@
                 self.pool.swap_allowance * LATE_ORDER_FACTOR,
             )
         except FetchError as error:
-            log.warning("An order to load version {} failed: {}.", version, error)
+            log.warning(
+                "The order to load weight version {} failed: {}; the state that the "
+                "backend server reports next decides.",
+                version,
+                error,
+            )
         finally:
             self.swapping = False
-        state = await self.ask()
+        state = await self.fetch_state()
         loaded = state.version == version
         self.failed_swaps = 0 if loaded else self.failed_swaps + 1
         kind = "loaded" if loaded else "load-failed"
-        self.recorder.note(kind, self.name, f"version {version}")
+        self.recorder.record(kind, self.name, f"version {version}")
         return loaded
 
 
 class Fence:
-    """Right to give orders to one backend server, by the highest number.
+    """Fencing number for the orders to one backend server.
+
+    Each owner gets a higher number than the ones before it, and only the owner of the
+    highest number may give orders.
 
     Parameters
     ----------
@@ -104,6 +124,11 @@
     owner : str
         Unique to this process: its name and incarnation.
     clock : Clock
+
+    Attributes
+    ----------
+    number : int
+        Number of this process; 0 before it has one.
     """
 
     def __init__(self, tables: Tables, backend: str, owner: str, clock: Clock):
@@ -113,12 +138,16 @@
         self.clock = clock
         self.number = 0
 
-    async def take(self) -> int:
-        """Take the next number from the platform, waiting while it is down."""
+    async def acquire(self) -> int:
+        """Claim and return the next number, retrying while the platform is down.
+
+        A number that this owner has already claimed is returned again, so an answer
+        that was lost costs no number.
+        """
         while True:
             row = await self.tables.read(BACKENDS_TABLE, self.backend)
             if isinstance(row, Unavailable):
-                await self.clock.sleep(FENCE_PERIOD)
+                await self.clock.sleep(FENCE_RETRY_PERIOD_S)
                 continue
             if not isinstance(row, Missing) and row.value["owner"] == self.owner:
                 self.number = row.value["fence"]
@@ -129,10 +158,10 @@
             write = Write(BACKENDS_TABLE, self.backend, value, version)
             outcome = await self.tables.commit([write])
             if not isinstance(outcome, (Committed, Conflict)):
-                await self.clock.sleep(FENCE_PERIOD)
+                await self.clock.sleep(FENCE_RETRY_PERIOD_S)
 
-    async def deposed(self) -> bool:
-        """Tell whether the platform knows a newer owner; False while it is down."""
+    async def is_superseded(self) -> bool:
+        """Return whether the platform has a newer owner; False while it is down."""
         row = await self.tables.read(BACKENDS_TABLE, self.backend)
         if isinstance(row, (Missing, Unavailable)):
             return False
--- a/gypsumshift/dialects.py
+++ b/gypsumshift/dialects.py
@@ -1,4 +1,4 @@
-"""Dialects: how the backend servers of several vendors report and take orders."""
+"""Dialects of backend servers: how each vendor reports state and loads weights."""
 
 import abc
 import json
@@ -6,23 +6,31 @@
 import attrs
 from prometheus_client.parser import text_string_to_metric_families
 
-__all__ = ["DIALECTS", "Dialect", "Order", "Plain", "Sglang", "State", "Vllm"]
+__all__ = [
+    "DIALECTS",
+    "Dialect",
+    "WeightLoadOrder",
+    "PlainDialect",
+    "SglangDialect",
+    "BackendState",
+    "VllmDialect",
+]
 
 FENCING_HEADER = "fencing-number"
 JSON_TYPE = ("content-type", "application/json")
 
 
 @attrs.frozen
-class State:
-    """What a backend server reports of itself.
+class BackendState:
+    """State that a backend server reports.
 
     Attributes
     ----------
     healthy : bool
     running, waiting : int
-        Requests, by its own lagging count.
+        Requests by the server's own count, which lags behind.
     version : int or None
-        Weight version loaded; None where it reports none.
+        Weight version loaded; None if the server reports none.
     """
 
     healthy: bool
@@ -32,8 +40,8 @@
 
 
 @attrs.frozen
-class Order:
-    """An HTTP request that gives an order to a backend server."""
+class WeightLoadOrder:
+    """HTTP request that orders a backend server to load a weight version."""
 
     method: str
     target: str
@@ -42,15 +50,15 @@
 
 
 @attrs.frozen
-class Piece:
-    """What one event of a stream says about tokens.
+class EventTokens:
+    """Token count and weight version in one event of a stream.
 
     Attributes
     ----------
     tokens : int
-        Number of tokens in it.
+        Number of tokens in the event.
     version : int or None
-        Weight version reported along with them.
+        Weight version that the event reports; None if it reports none.
     """
 
     tokens: int = 0
@@ -58,21 +66,23 @@
 
 
 class Dialect(abc.ABC):
-    """One vendor's way to report state and to take orders."""
+    """Protocol by which one vendor's servers report state and load weights."""
 
     state_target = "/health"
 
     @abc.abstractmethod
-    def parse_state(self, status: int, body: bytes) -> State:
-        """Return the state in an answer to ``GET state_target``."""
+    def parse_state(self, status: int, body: bytes) -> BackendState:
+        """Parse the answer to ``GET state_target``; if unreadable, it is unhealthy."""
 
-    def load_order(self, pool: str, version: int, fence: int) -> Order | None:
-        """Return the order to load weights; None where it takes none."""
+    def weight_load_order(
+        self, pool: str, version: int, fence: int
+    ) -> WeightLoadOrder | None:
+        """Return the order to load a weight version; None if there is no such order."""
         return None
 
-    def piece(self, event: dict) -> Piece:
-        """Return what one event of a stream says about tokens."""
-        return Piece()
+    def read_event_tokens(self, event: dict) -> EventTokens:
+        """Return the token count and weight version of one event of a stream."""
+        return EventTokens()
 
 
 def token_count(event: dict) -> int:
@@ -81,85 +91,93 @@
     return len(choices[0].get("token_ids") or [])
 
 
-def number(text: object) -> int | None:
-    """Return a weight version as the vendors write it, such as 7 or weights-7."""
+def parse_version(text: object) -> int | None:
+    """Parse a vendor's weight version, such as 7 or weights-7; None if unreadable."""
     digits = str(text).rpartition("-")[2]
     return int(digits) if digits.isdigit() else None
 
 
-class Vllm(Dialect):
-    """State as Prometheus text, versions in ``system_fingerprint``."""
+class VllmDialect(Dialect):
+    """vLLM: state as Prometheus text, versions in ``system_fingerprint``."""
 
     state_target = "/metrics"
 
     def parse_state(self, status, body):
-        """Return the state on the metrics page."""
+        """Parse the state from the metrics page."""
         if status != 200:
-            return State(False)
+            return BackendState(False)
         values, version = {}, None
         try:
             for family in text_string_to_metric_families(body.decode()):
                 for sample in family.samples:
                     values[sample.name] = sample.value
                     if "weight_version" in sample.labels:
-                        version = number(sample.labels["weight_version"])
+                        version = parse_version(sample.labels["weight_version"])
         except ValueError:
-            return State(False)
+            return BackendState(False)
         running = int(values.get("vllm:num_requests_running", 0))
         waiting = int(values.get("vllm:num_requests_waiting", 0))
-        return State(True, running, waiting, version)
+        return BackendState(True, running, waiting, version)
 
-    def load_order(self, pool, version, fence):
-        """Return the order to load weights."""
+    def weight_load_order(self, pool, version, fence):
+        """Return the order to load a weight version."""
         body = json.dumps({"model": pool, "weight_version": version}).encode()
         headers = [JSON_TYPE, (FENCING_HEADER, str(fence))]
-        return Order("POST", "/reload_weights", headers, body)
+        return WeightLoadOrder("POST", "/reload_weights", headers, body)
 
-    def piece(self, event):
-        """Return what one event of a stream says about tokens."""
-        return Piece(token_count(event), number(event.get("system_fingerprint")))
+    def read_event_tokens(self, event):
+        """Return the token count and weight version of one event of a stream."""
+        return EventTokens(
+            token_count(event), parse_version(event.get("system_fingerprint"))
+        )
 
 
-class Sglang(Dialect):
-    """State as JSON server info, versions in ``metadata.weight_version``."""
+class SglangDialect(Dialect):
+    """SGLang: state as JSON server info, versions in ``metadata.weight_version``."""
 
     state_target = "/get_server_info"
 
     def parse_state(self, status, body):
-        """Return the state in the server info."""
+        """Parse the state from the server info."""
         try:
             info = json.loads(body)
             inner = (info.get("internal_states") or [{}])[0]
             running = int(inner.get("num_running_reqs", 0))
             waiting = int(inner.get("num_waiting_reqs", 0))
-            version = number(info.get("weight_version"))
+            version = parse_version(info.get("weight_version"))
         except (ValueError, TypeError, AttributeError, IndexError):
-            return State(False)
-        return State(status == 200, running, waiting, version)
+            return BackendState(False)
+        return BackendState(status == 200, running, waiting, version)
 
-    def load_order(self, pool, version, fence):
-        """Return the order to load weights."""
+    def weight_load_order(self, pool, version, fence):
+        """Return the order to load a weight version."""
         value = {"model_path": f"{pool}/{version}", "weight_version": str(version)}
         headers = [JSON_TYPE, (FENCING_HEADER, str(fence))]
         body = json.dumps(value).encode()
-        return Order("POST", "/update_weights_from_disk", headers, body)
+        return WeightLoadOrder("POST", "/update_weights_from_disk", headers, body)
 
-    def piece(self, event):
-        """Return what one event of a stream says about tokens."""
+    def read_event_tokens(self, event):
+        """Return the token count and weight version of one event of a stream."""
         metadata = event.get("metadata") or {}
-        return Piece(token_count(event), number(metadata.get("weight_version")))
+        return EventTokens(
+            token_count(event), parse_version(metadata.get("weight_version"))
+        )
 
 
-class Plain(Dialect):
-    """A plain service with a health page in JSON."""
+class PlainDialect(Dialect):
+    """Service without weights, with a health page in JSON."""
 
     def parse_state(self, status, body):
-        """Return the state on the health page."""
+        """Parse the state from the health page; the status alone decides on health."""
         try:
             page = json.loads(body)
-            return State(status == 200, int(page.get("running", 0)))
+            return BackendState(status == 200, int(page.get("running", 0)))
         except (ValueError, TypeError, AttributeError):
-            return State(status == 200)
+            return BackendState(status == 200)
 
 
-DIALECTS: dict[str, Dialect] = {"vllm": Vllm(), "sglang": Sglang(), "plain": Plain()}
+DIALECTS: dict[str, Dialect] = {
+    "vllm": VllmDialect(),
+    "sglang": SglangDialect(),
+    "plain": PlainDialect(),
+}
--- a/gypsumshift/keyfile.py
+++ b/gypsumshift/keyfile.py
@@ -1,6 +1,6 @@
-"""Key file: the keys of a folder of declarations, in a file that the tool writes.
+"""Manage the keys of workspaces in a file within a folder of declarations.
 
-Only digests are kept. A key is shown once, when it is made.
+The file holds digests only; a key itself is shown once, when it is created.
 """
 
 import json
@@ -13,84 +13,89 @@
 from gypsumshift.outcomes import Invalid, Problem
 from gypsumshift.workspaces import key_digest
 
-__all__ = ["NAME", "NewKey", "add", "listed", "remove"]
+__all__ = ["KEY_FILE", "NewKey", "add_key", "list_keys", "remove_key"]
 
-# File in the folder of declarations. Others may hold keys as well; this one the tool
-# rewrites, so it keeps no comments.
-NAME = "keys.json"
-# Bytes of chance in a key: nobody guesses one.
-KEY_SIZE = 20
+# Name of the key file in a folder of declarations. Other files of the folder may
+# declare keys as well. This one is rewritten with each change, so it has no comments.
+KEY_FILE = "keys.json"
+# Random bytes in a key: enough that a key cannot be guessed.
+KEY_BYTES = 20
 
 
 @attrs.frozen
 class NewKey:
-    """A key that was just made.
+    """A newly created key.
 
     Attributes
     ----------
     name : str
     text : str
-        What callers send; it is kept nowhere.
+        Secret that callers send; it is not stored.
     """
 
     name: str
     text: str
 
 
-def read(folder: pathlib.Path) -> list[dict] | Invalid:
-    """Return the declared keys in the file of a folder."""
-    path = folder / NAME
+def read_keys(folder: pathlib.Path) -> list[dict] | Invalid:
+    """Return the keys in a folder's key file; Invalid if any file is invalid."""
+    path = folder / KEY_FILE
     if not path.exists():
         return []
-    value = documents.read(path)
+    value = documents.read_file(path)
     if isinstance(value, Invalid):
         return value
     catalog = declarations.load(folder)
     return catalog if isinstance(catalog, Invalid) else value.get("keys", [])
 
 
-def write(folder: pathlib.Path, keys: list[dict]) -> None:
-    """Write the declared keys of a folder, whole or not at all."""
-    path = folder / NAME
-    unfinished = path.with_suffix(".json.new")
-    unfinished.write_text(json.dumps({"keys": keys}, indent=2) + "\n")
-    unfinished.replace(path)
+def write_keys(folder: pathlib.Path, keys: list[dict]) -> None:
+    """Replace a folder's key file atomically."""
+    path = folder / KEY_FILE
+    temporary = path.with_suffix(".json.new")
+    temporary.write_text(json.dumps({"keys": keys}, indent=2) + "\n")
+    temporary.replace(path)
 
 
-def add(folder: pathlib.Path, workspace: str, name: str) -> NewKey | Invalid:
-    """Make a key of a workspace; the folder is left as it is where that is wrong."""
-    keys = read(folder)
+def add_key(folder: pathlib.Path, workspace: str, name: str) -> NewKey | Invalid:
+    """Create a key for a workspace and add it to a folder's key file.
+
+    If the declarations with the new key are invalid, the file is left unchanged.
+    """
+    keys = read_keys(folder)
     if isinstance(keys, Invalid):
         return keys
-    text = secrets.token_urlsafe(KEY_SIZE)
+    text = secrets.token_urlsafe(KEY_BYTES)
     key = {"name": name, "workspace": workspace, "digest": key_digest(text)}
-    before = (folder / NAME).exists()
-    write(folder, [*keys, key])
+    existed = (folder / KEY_FILE).exists()
+    write_keys(folder, [*keys, key])
     catalog = declarations.load(folder)
     if not isinstance(catalog, Invalid):
         return NewKey(name, text)
-    if before:
-        write(folder, keys)
+    if existed:
+        write_keys(folder, keys)
     else:
-        (folder / NAME).unlink()
+        (folder / KEY_FILE).unlink()
     return catalog
 
 
-def remove(folder: pathlib.Path, name: str) -> Invalid | None:
-    """Take a key away; return what is wrong where there is no such key."""
-    keys = read(folder)
+def remove_key(folder: pathlib.Path, name: str) -> Invalid | None:
+    """Remove a key from a folder's key file; return the problem if it is not there."""
+    keys = read_keys(folder)
     if isinstance(keys, Invalid):
         return keys
-    left = [key for key in keys if key["name"] != name]
-    if len(left) == len(keys):
+    remaining = [key for key in keys if key["name"] != name]
+    if len(remaining) == len(keys):
         known = ", ".join(key["name"] for key in keys) or "none"
-        where = str(folder / NAME)
-        return Invalid((Problem(where, f"no key {name!r}", f"it holds: {known}"),))
-    write(folder, left)
+        where = str(folder / KEY_FILE)
+        return Invalid(
+            (Problem(where, f"there is no key {name!r}", f"the file has: {known}"),)
+        )
+    write_keys(folder, remaining)
     return None
 
 
-def listed(folder: pathlib.Path) -> list[dict] | Invalid:
-    """Return the keys of all files of a folder: name, workspace and digest."""
+def list_keys(folder: pathlib.Path) -> list[dict] | Invalid:
+    """Return the keys in all files of a folder: name, workspace and digest."""
     catalog = declarations.load(folder)
     return catalog if isinstance(catalog, Invalid) else catalog.source["keys"]
--- a/gypsumshift/face.py
+++ b/gypsumshift/operatorclient.py
@@ -1,4 +1,4 @@
-"""Face: how the command line asks an operator face, and ends where that fails."""
+"""Client of the operator API for the command line, and its exit statuses."""
 
 import asyncio
 import json
@@ -17,9 +17,9 @@
     "EXIT_LAGGING",
     "EXIT_UNAVAILABLE",
     "EXIT_UNKNOWN",
-    "Face",
+    "OperatorClient",
     "fail",
-    "refuse",
+    "fail_with_problem",
 ]
 
 EXIT_UNAVAILABLE = 1
@@ -28,27 +28,27 @@
 EXIT_UNKNOWN = 4
 EXIT_LAGGING = 5
 DEFAULT_OPERATOR = "http://127.0.0.1:8200"
-REQUEST_TIMEOUT = 30.0
+REQUEST_TIMEOUT_S = 30.0
 
 
 @attrs.define
-class Face:
-    """The operator face that the commands speak to.
+class OperatorClient:
+    """Client of an entry's operator API.
 
     Attributes
     ----------
     url : str
     token : str
-        Bearer token; empty where none is asked for.
+        Bearer token; empty if none is sent.
     """
 
     url: str = DEFAULT_OPERATOR
     token: str = ""
 
-    def ask(
+    def send_request(
         self, method: str, target: str, value=None, body: bytes = b""
     ) -> FetchedResponse:
-        """Send one request; ends the command where nobody answers."""
+        """Send a request; end the command if it gets no response."""
         parts = urllib.parse.urlsplit(self.url)
         address = (parts.hostname, parts.port or 80)
         headers = [("content-type", "application/json")]
@@ -56,29 +56,37 @@
             headers.append(("authorization", f"Bearer {self.token}"))
         if value is not None:
             body = json.dumps(value).encode()
-        fetch = Fetcher().fetch(address, method, target, headers, body, REQUEST_TIMEOUT)
+        fetch = Fetcher().fetch(
+            address, method, target, headers, body, REQUEST_TIMEOUT_S
+        )
         try:
             return asyncio.run(fetch)
         except FetchError as error:
             hint = "name an entry's operator address with --operator"
-            fail(f"{self.url}: {error}; {hint}", EXIT_UNAVAILABLE)
+            fail(
+                f"{method} {target} got no response from {self.url}: {error}; {hint}",
+                EXIT_UNAVAILABLE,
+            )
 
-    def get(self, target: str):
-        """Return the JSON value at a target; ends the command where refused."""
-        answer = self.ask("GET", target)
+    def get_json(self, target: str):
+        """Return the JSON value at a target; end the command on any error status."""
+        answer = self.send_request("GET", target)
         if answer.status != 200:
-            refuse(answer)
+            fail_with_problem(answer)
         return json.loads(answer.body)
 
 
 def fail(message: str, status: int):
-    """Print one line to standard error and end the command."""
+    """Print a message to standard error, and end the command with an exit status."""
     print(f"gypsumshift: {message}", file=sys.stderr)
     raise typer.Exit(status)
 
 
-def refuse(answer: FetchedResponse):
-    """End the command as a problem document says."""
+def fail_with_problem(answer: FetchedResponse):
+    """Print the problem document of a failed request, and end the command.
+
+    The exit status follows from the HTTP status.
+    """
     try:
         value = json.loads(answer.body)
     except ValueError:
@@ -89,4 +97,7 @@
         print(f"gypsumshift: the other change: {line}", file=sys.stderr)
     statuses = {409: EXIT_CONFLICT, 422: EXIT_INVALID, 504: EXIT_UNKNOWN}
     status = statuses.get(answer.status, EXIT_UNAVAILABLE)
-    fail(value.get("detail", "refused"), status)
+    fail(
+        value.get("detail", f"the request was refused with status {answer.status}"),
+        status,
+    )
--- a/gypsumshift/sidecar.py
+++ b/gypsumshift/sidecar.py
@@ -1,4 +1,4 @@
-"""Sidecar: the process beside one backend server, and its only sender."""
+"""Process beside one backend server, and the only one that sends requests to it."""
 
 from gypsumshift import logs
 from gypsumshift.addresses import parse_address
@@ -8,7 +8,7 @@
 from gypsumshift.generated.declarations import Pool
 from gypsumshift.generated.messages import Body, Role
 from gypsumshift.httpclient import Fetcher
-from gypsumshift.members import rank
+from gypsumshift.membership import rendezvous_weight
 from gypsumshift.outcomes import Missing, Unavailable
 from gypsumshift.poller import LEAVING_PREFIX
 from gypsumshift.process import Process
@@ -17,10 +17,12 @@
 
 __all__ = ["Sidecar"]
 
-ENTRIES_GREETED = 3
-STATE_PERIOD = 1.0
-DRAIN_PERIOD = 0.05
-DEFAULT_DEADLINE = 30.0
+# Entries that a sidecar sends heartbeats to.
+HEARTBEAT_ENTRIES = 3
+STATE_PERIOD_S = 1.0
+DRAIN_CHECK_PERIOD_S = 0.05
+# Used where a drain order gives no deadline.
+DEFAULT_DRAIN_DEADLINE_S = 30.0
 
 log = logs.logger("sidecar")
 
@@ -28,8 +30,9 @@
 class Sidecar(Process):
     """Process beside one backend server.
 
-    It alone sends requests and orders there. So it can say truly that a request
-    has not run, and label tokens by what the engine reports.
+    No other process sends requests or orders to the backend server. The sidecar can
+    therefore state reliably that a request has not run, and label tokens with the
+    weight version that the engine reports.
     """
 
     role = Role.SIDECAR
@@ -44,7 +47,7 @@
             address, undeclared, self.fetcher, self.recorder, settings.backend
         )
         self.attempt_runner = AttemptRunner(self, self.backend, self.fetcher)
-        owner = f"{self.own.name}/{self.own.incarnation}"
+        owner = f"{self.member.name}/{self.member.incarnation}"
         tables = self.platform.tables
         self.fence = Fence(tables, settings.backend, owner, self.clock)
         self.weight_rollout = WeightRollout(
@@ -52,103 +55,114 @@
         )
 
     async def start(self) -> None:
-        """Listen and run the tasks."""
+        """Listen on the ports and start the tasks."""
         await super().start()
-        self.spawn(self.hold_fence())
-        self.spawn(self.watch_backend())
+        self.spawn(self.acquire_fence())
+        self.spawn(self.poll_backend_state())
         self.spawn(self.weight_rollout.run())
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Stop at once, without finishing requests."""
         await super().stop()
         self.fetcher.close_idle()
 
-    # What it knows
+    # Configuration and peers
 
     def revision_changed(self) -> None:
-        """Take the declaration of its pool."""
+        """Apply the new declaration of this sidecar's pool."""
         pool = self.active_revision.catalog.pools.get(self.settings.pool)
         if pool is not None and pool != self.backend.pool:
             self.backend.pool = pool
             self.attempt_runner.update_pool(pool)
 
-    def target_changed(self):
-        """Have the rollout look at the new version."""
+    def target_version_changed(self):
+        """Wake the weight rollout, which loads the new version."""
         self.weight_rollout.wake.set()
 
-    def correspondents(self):
-        """Return a few entries; the seeds where none is known."""
-        entries = self.view.entries()
+    def heartbeat_addresses(self):
+        """Return the addresses of some entries; the seeds if no entry is known.
+
+        Rendezvous weights spread the sidecars over the entries.
+        """
+        entries = self.membership.entries()
         if not entries:
-            return super().correspondents()
-        entries.sort(key=lambda known: -rank(self.own.name, known.member.name))
-        return [known.address for known in entries[:ENTRIES_GREETED]]
+            return super().heartbeat_addresses()
+        entries.sort(
+            key=lambda peer: -rendezvous_weight(self.member.name, peer.member.name)
+        )
+        return [peer.address for peer in entries[:HEARTBEAT_ENTRIES]]
 
-    def reads_hosts(self):
-        """Read the platform's list only where nobody else tells of entries."""
-        return not self.view.entries()
+    def polls_hosts(self):
+        """Return whether to read the platform's host list: if no entry is known."""
+        return not self.membership.entries()
 
-    def load(self) -> messages.Load:
-        """Return the load of the backend server."""
+    def load_report(self) -> messages.Load:
+        """Return the load report of the backend server; update the version reported."""
         load = self.attempt_runner.current_load()
-        self.own.version = load.version
+        self.member.version = load.version
         return load
 
-    def figures(self):
-        """Return the figures that `status` and the scrape page show."""
-        load = self.load()
-        return super().figures() | {
+    def read_gauges(self):
+        """Return the gauges that `status` and the metrics page show, by name."""
+        load = self.load_report()
+        return super().read_gauges() | {
             "running": load.running,
             "queued": load.queued,
             "limit": load.limit,
             "wait_ms": load.wait_ms,
-            "refused": self.attempt_runner.admission.refused,
+            "refused": self.attempt_runner.admission.refused_count,
             "weight_version": load.version,
             "target_version": self.weight_rollout.target,
             "rollout_wave": self.weight_rollout.wave,
             "swapping": int(load.swapping),
             "failed_swaps": self.backend.failed_swaps,
-            "fence": self.own.fence,
+            "fence": self.member.fence,
             "healthy": int(load.healthy),
         }
 
-    # Its backend server
+    # Backend server
 
-    async def hold_fence(self) -> None:
-        """Take the fencing number, and learn whether operators drain this one."""
-        self.own.fence = await self.fence.take()
-        self.recorder.note("fence", self.settings.backend, str(self.own.fence))
+    async def acquire_fence(self) -> None:
+        """Acquire the fencing number; leave if operators have ordered a drain."""
+        self.member.fence = await self.fence.acquire()
+        self.recorder.record("fence", self.settings.backend, str(self.member.fence))
         key = LEAVING_PREFIX + self.settings.backend
         row = await self.platform.tables.read(HEADS_TABLE, key)
         if not isinstance(row, (Missing, Unavailable)):
-            self.leave("drained by operators")
+            self.start_leaving("drained by operators")
         self.heartbeats.wake.set()
 
-    async def watch_backend(self) -> None:
-        """Ask for the backend server's state, again and again."""
+    async def poll_backend_state(self) -> None:
+        """Fetch the backend server's state periodically until cancelled."""
         while True:
-            await self.backend.ask()
-            await self.clock.sleep(STATE_PERIOD)
-
-    def leave(self, reason: str) -> None:
-        """Take no new work from now on."""
-        if not self.own.leaving:
-            self.own.leaving = True
-            self.recorder.note("leaving", self.settings.backend, reason)
-            log.info("Takes no new work: {}.", reason)
+            await self.backend.fetch_state()
+            await self.clock.sleep(STATE_PERIOD_S)
+
+    def start_leaving(self, reason: str) -> None:
+        """Accept no new requests from now on, and send heartbeats about it at once."""
+        if not self.member.leaving:
+            self.member.leaving = True
+            self.recorder.record("leaving", self.settings.backend, reason)
+            log.info("Leaving, accepts no new requests: {}.", reason)
             self.heartbeats.wake.set()
 
     async def drain(self, deadline: float) -> None:
-        """Take no new work and finish what runs, within ``deadline`` seconds."""
-        self.leave("drain ordered")
-        end = self.clock.monotonic() + (deadline or DEFAULT_DEADLINE)
+        """Accept no new requests and finish those that run, within a deadline.
+
+        Parameters
+        ----------
+        deadline : float
+            Seconds from now; 0 for the default.
+        """
+        self.start_leaving("drain ordered")
+        end = self.clock.monotonic() + (deadline or DEFAULT_DRAIN_DEADLINE_S)
         while self.attempt_runner.running and self.clock.monotonic() < end:
-            await self.clock.sleep(DRAIN_PERIOD)
+            await self.clock.sleep(DRAIN_CHECK_PERIOD_S)
 
     # Requests
 
-    async def serve(self, session, exchange, body):
-        """Answer one question of a peer."""
+    async def serve_peer(self, session, exchange, body):
+        """Answer one message of a peer."""
         if body.start is not None:
             self.attempt_runner.accept_attempt(session, exchange, body.start)
         elif body.cancel is not None:
@@ -158,8 +172,8 @@
                 exchange, Body(bar_reply=self.attempt_runner.bar_attempt(body.bar))
             )
         else:
-            await super().serve(session, exchange, body)
+            await super().serve_peer(session, exchange, body)
 
     def session_ended(self, session):
-        """Give up what a lost entry can no longer receive."""
+        """Cancel the repeatable attempts of a connection that has closed."""
         self.attempt_runner.cancel_session_attempts(session)
--- a/gypsumshift/weightpublisher.py
+++ b/gypsumshift/weightpublisher.py
@@ -1,6 +1,6 @@
-"""Publication: naming a new weight version to everyone."""
+"""Publishing of new weight versions of pools."""
 
-from gypsumshift.outcomes import Committed, Missing, Unavailable, Unknown, Written
+from gypsumshift.outcomes import Committed, Missing, Unavailable, Unknown, WriteOutcome
 from gypsumshift.platforms import ABSENT, Write
 from gypsumshift.poller import WEIGHTS_PREFIX
 from gypsumshift.process import Process
@@ -12,7 +12,7 @@
 
 
 class WeightPublisher:
-    """Publishes weights of pools.
+    """Stores the weights of pools and announces their versions.
 
     Parameters
     ----------
@@ -23,8 +23,10 @@
         self.process = process
         self.tables = process.platform.tables
 
-    async def publish(self, pool: str, version: int, data: bytes, by: str) -> Written:
-        """Store the weights, then name the version; doing it twice is harmless.
+    async def publish(
+        self, pool: str, version: int, data: bytes, by: str
+    ) -> WriteOutcome:
+        """Store the weights, then set the pool's newest version; idempotent.
 
         Parameters
         ----------
@@ -32,7 +34,7 @@
         version : int
         data : bytes
         by : str
-            Who publishes.
+            Name of the trainer or operator that publishes, for information.
         """
         stored = await self.process.platform.weights.publish(pool, version, data)
         if isinstance(stored, (Unavailable, Unknown)):
@@ -40,14 +42,19 @@
         for _ in range(MAX_TRIES):
             outcome = await self.set_newest_version(pool, version, by)
             if isinstance(outcome, Committed):
-                self.process.set_target(pool, version)
+                self.process.set_target_version(pool, version)
                 return outcome
             if isinstance(outcome, Unavailable):
                 return outcome
-        return Unknown("the platform's answer was lost")
+        return Unknown(
+            f"no answer from the platform whether version {version} was set as the"
+            f" newest of pool {pool}, in {MAX_TRIES} tries"
+        )
 
-    async def set_newest_version(self, pool: str, version: int, by: str) -> Written:
-        """Name a version as the newest of a pool, where it is."""
+    async def set_newest_version(
+        self, pool: str, version: int, by: str
+    ) -> WriteOutcome:
+        """Set a version as the newest of a pool, unless that one is as new or newer."""
         key = WEIGHTS_PREFIX + pool
         row = await self.tables.read(HEADS_TABLE, key)
         if isinstance(row, Unavailable):
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,16 +1,16 @@
-"""Builders of what the tests work on."""
+"""Builders and fakes shared by the tests: clock, platform, members and load reports."""
 
 import datetime
 
 from gypsumshift import memory, platforms
 from gypsumshift.clock import Clock
-from gypsumshift.events import Recorder
+from gypsumshift.events import EventRecorder
 from gypsumshift.generated.messages import Load, Member, Role
 from gypsumshift.outcomes import Unavailable, Unknown
 
 
 class ManualClock(Clock):
-    """Clock that stands until it is advanced."""
+    """Clock whose time changes only by `advance` and `sleep`."""
 
     def __init__(self):
         self.seconds = 1000.0
@@ -30,13 +30,17 @@
 
 
 class FaultyTables(memory.MemoryTables):
-    """Tables that are down, or lose the answer of a write after it took effect."""
+    """Tables in memory with faults.
+
+    While ``down``, they are unavailable. The next ``lost_requests`` writes fail with an
+    unknown outcome and no effect, the next ``lost_answers`` writes after their effect.
+    """
 
     def __init__(self):
         super().__init__()
         self.down = False
-        self.lose_next = 0
-        self.drop_next = 0
+        self.lost_answers = 0
+        self.lost_requests = 0
 
     async def read(self, table, key, part=""):
         if self.down:
@@ -51,32 +55,32 @@
     async def commit(self, writes):
         if self.down:
             return Unavailable("down")
-        if self.drop_next:
-            self.drop_next -= 1
+        if self.lost_requests:
+            self.lost_requests -= 1
             return Unknown("the request was lost")
         outcome = await super().commit(writes)
-        if self.lose_next:
-            self.lose_next -= 1
+        if self.lost_answers:
+            self.lost_answers -= 1
             return Unknown("the answer was lost")
         return outcome
 
 
 def platform(tables=None):
-    """Return a new platform in memory."""
+    """Return a new platform whose services keep their data in memory."""
     return platforms.Platform(
         tables or memory.MemoryTables(),
-        memory.MemoryObjects(),
-        memory.MemoryWeights(),
-        memory.MemoryHosts(),
+        memory.MemoryObjectStore(),
+        memory.MemoryWeightStore(),
+        memory.MemoryHostList(),
     )
 
 
 def recorder(clock=None):
-    return Recorder("test", clock or ManualClock())
+    return EventRecorder("test", clock or ManualClock())
 
 
 def member(name="sidecar-a", **changes):
-    """Return a sidecar as others know it."""
+    """Return the membership entry of a sidecar."""
     fields = {
         "name": name,
         "incarnation": 1,
--- a/tests/system.py
+++ b/tests/system.py
@@ -1,4 +1,4 @@
-"""A small system inside the test's process: real sockets, a platform in memory."""
+"""A small system within the test process: real sockets, and a platform in memory."""
 
 import asyncio
 import contextlib
@@ -9,14 +9,14 @@
 from gypsumshift.entry import Entry
 from gypsumshift.generated.settings import Settings
 from gypsumshift.sidecar import Sidecar
-from standins.engine import Speed, StandinEngine
-from standins.service import StandinService
+from standins.engine import FakeEngine, StepTiming
+from standins.service import FakeService
 
 from . import builders
 
 HOST = "127.0.0.1"
-PATIENCE = 20.0
-SOURCE = {
+WAIT_TIMEOUT_S = 20.0
+DECLARATIONS = {
     "zones": ["here", "there"],
     "pools": [
         {
@@ -49,22 +49,27 @@
 }
 
 
-async def until(holds, what="the condition"):
-    """Wait until a condition holds; returns its value."""
-    async with asyncio.timeout(PATIENCE):
+async def wait_until(holds, what="the condition"):
+    """Wait until a condition holds; return its value."""
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not (value := holds()):
             await asyncio.sleep(0.005)
         return value
 
 
 class Relay:
-    """TCP relay that can be cut after some bytes, or altogether."""
+    """TCP relay that cuts its connections after a number of bytes, or for good.
+
+    ``cut_after_sent`` and ``cut_after_received`` are the bytes left in each direction
+    until all connections are cut. While ``refuses``, new connections are aborted;
+    ``refuses_after_cut`` sets it with the next cut.
+    """
 
     def __init__(self, port):
-        self.target = port
+        self.target_port = port
         self.port = 0
-        self.cut_up = self.cut_down = None
-        self.dead = self.dies = False
+        self.cut_after_sent = self.cut_after_received = None
+        self.refuses = self.refuses_after_cut = False
         self.writers = set()
 
     async def start(self):
@@ -73,17 +78,19 @@
         return self
 
     async def accept(self, reader, writer):
-        if self.dead:
+        if self.refuses:
             writer.transport.abort()
             return
-        inner_reader, inner_writer = await asyncio.open_connection(HOST, self.target)
+        inner_reader, inner_writer = await asyncio.open_connection(
+            HOST, self.target_port
+        )
         self.writers |= {writer, inner_writer}
         await asyncio.gather(
-            self.pump(reader, inner_writer, "cut_up"),
-            self.pump(inner_reader, writer, "cut_down"),
+            self.forward(reader, inner_writer, "cut_after_sent"),
+            self.forward(inner_reader, writer, "cut_after_received"),
         )
 
-    async def pump(self, reader, writer, limit_name):
+    async def forward(self, reader, writer, limit_name):
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(65536):
                 limit = getattr(self, limit_name)
@@ -99,23 +106,23 @@
         writer.close()
 
     def cut(self):
-        """Cut all connections."""
+        """Abort all connections."""
         for writer in self.writers:
             writer.transport.abort() if not writer.is_closing() else None
         self.writers.clear()
-        self.dead |= self.dies
+        self.refuses |= self.refuses_after_cut
 
     def kill(self):
-        """Cut all connections, now and later."""
-        self.dead = True
+        """Abort all connections, and refuse new ones."""
+        self.refuses = True
         self.cut()
 
 
 class System:
-    """Entries, sidecars and backend servers; a context manager."""
+    """Context manager that runs entries, sidecars and stand-ins for backend servers."""
 
     def __init__(self, source=None, engines=1, services=1, entries=1):
-        self.source = source or SOURCE
+        self.source = source or DECLARATIONS
         self.tables = builders.FaultyTables()
         self.platform = builders.platform(self.tables)
         self.counts = (engines, services, entries)
@@ -131,31 +138,31 @@
         outcome = await self.entries[0].revision_history.apply(
             0, catalog.source, "test", "first", "first"
         )
-        self.entries[0].adopt(1, json.dumps(outcome.declarations))
+        self.entries[0].adopt_revision(1, json.dumps(outcome.declarations))
         for number in range(engines):
-            engine = StandinEngine("model", checks_fencing=True, swap=0.01)
-            engine.speed = Speed(0.002, 0, 0)
+            engine = FakeEngine("model", checks_fencing=True, swap=0.01)
+            engine.step_timing = StepTiming(0.002, 0, 0)
             self.engines.append(engine)
             port = await engine.server.listen(HOST, 0)
             self.tasks.append(asyncio.create_task(engine.step_forever()))
             await self.add_sidecar(f"model-{number}", "model", port)
         for number in range(services):
-            service = StandinService(f"shop-{number}", duration=0.001, spread=0)
+            service = FakeService(f"shop-{number}", duration=0.001, spread=0)
             self.services.append(service)
             port = await service.server.listen(HOST, 0)
             await self.add_sidecar(f"shop-{number}", "shop", port)
-        await until(self.settled, "everybody knows everybody")
+        await wait_until(self.has_converged, "all entries know all sidecars")
         return self
 
     async def __aexit__(self, *exc_info):
         for task in self.tasks:
             task.cancel()
         await self.stack.aclose()
-        for each in self.engines + self.services:
-            await each.server.stop(0)
+        for backend_server in self.engines + self.services:
+            await backend_server.server.stop(0)
 
     def settings(self, name, role, **fields):
-        seeds = [f"{HOST}:{entry.own.port}" for entry in self.entries]
+        seeds = [f"{HOST}:{entry.member.port}" for entry in self.entries]
         return Settings(
             name=name, role=role, zone="here", platform="memory:", seeds=seeds, **fields
         )
@@ -181,31 +188,35 @@
         return sidecar
 
     async def replace_sidecar(self, backend):
-        """Kill a sidecar and start an empty one at another address."""
+        """Stop a sidecar, and start one without state for its backend server."""
         old = self.sidecars[backend]
         await old.stop()
         port = old.backend.address[1]
         new = await self.add_sidecar(backend, old.settings.pool, port)
-        await until(self.settled)
+        await wait_until(self.has_converged)
         return new
 
-    def settled(self):
-        """Tell whether all entries know all sidecars, healthy and at one revision."""
+    def has_converged(self):
+        """Return whether all sidecars are fenced, at the newest revision and known.
+
+        Known means that each entry has the sidecar's current incarnation and a load
+        report of a healthy backend server.
+        """
         newest = max(entry.active_revision.number for entry in self.entries)
         for sidecar in self.sidecars.values():
             if sidecar.stopped.is_set():
                 continue
-            if not sidecar.own.fence or sidecar.active_revision.number < newest:
+            if not sidecar.member.fence or sidecar.active_revision.number < newest:
                 return False
             for entry in self.entries:
-                known = entry.view.known.get(sidecar.own.name)
-                same = known and known.member.incarnation == sidecar.own.incarnation
-                if not same or not known.load or not known.load.healthy:
+                peer = entry.membership.peers.get(sidecar.member.name)
+                same = peer and peer.member.incarnation == sidecar.member.incarnation
+                if not same or not peer.load or not peer.load.healthy:
                     return False
         return True
 
-    def runs(self):
-        """Return how often each request ran, over all services."""
+    def run_counts(self):
+        """Return how often each request ran, counted over all services."""
         total = {}
         for service in self.services:
             for name, count in service.runs.items():
@@ -214,18 +225,18 @@
 
     def client(self, workspace="w", entry=None):
         chosen = self.entries if entry is None else [self.entries[entry]]
-        urls = [f"http://{HOST}:{e.front_address[1]}/{workspace}" for e in chosen]
+        urls = [f"http://{HOST}:{e.caller_address[1]}/{workspace}" for e in chosen]
         return AsyncClient(urls, timeout=8.0)
 
     def trainer(self, entry=None):
         chosen = self.entries if entry is None else [self.entries[entry]]
         path = "/w/trainers/tr"
-        urls = [f"http://{HOST}:{e.front_address[1]}{path}" for e in chosen]
+        urls = [f"http://{HOST}:{e.caller_address[1]}{path}" for e in chosen]
         return AsyncTrainer(urls)
 
 
 def run(work, **options):
-    """Run a test on a fresh system."""
+    """Run a test's coroutine function on a new system."""
 
     async def with_system():
         async with System(**options) as system:
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -16,7 +16,7 @@
 from gypsumshift.watch import Watch
 from standins.deployment import free_port
 from standins.users_documents import settings_text
-from tests.system import until
+from tests.system import wait_until
 from tests.test_platform import run_scenario
 
 TABLE = "settings"
@@ -137,7 +137,9 @@
         # Its neighbours cannot reach the store either.
         world.gateway.store.path.store = ("127.0.0.1", 1)
         world.tasks.append(asyncio.create_task(late.run()))
-        await until(lambda: late.directory.routes.version and late.directory.servers)
+        await wait_until(
+            lambda: late.directory.routes.version and late.directory.servers
+        )
         world.front_address = late.ports[0].server.listener.sockets[0].getsockname()
         exchange, _ = await world.send_request("POST", "/app/1", "a1", b"hello")
         assert exchange.status == 200
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -11,7 +11,7 @@
     Relay,
     StorePath,
 )
-from tests.system import until
+from tests.system import wait_until
 
 UNREACHABLE = ("127.0.0.1", 1)
 
@@ -93,7 +93,7 @@
     helper = await world.neighbour("helper", store)
     path = world.path(UNREACHABLE, [helper])
     await fail_twice(path)
-    await until(lambda: path.via == helper)
+    await wait_until(lambda: path.via == helper)
     return store, path
 
 
@@ -103,7 +103,7 @@
     assert await call_store(path, "POST", b"row") == 200
     assert world.calls[-1] == ("POST", "/rows?a=b", b"row")
     path.store = store
-    await until(lambda: path.via is None)
+    await wait_until(lambda: path.via is None)
     assert await call_store(path) == 200
 
 
@@ -116,7 +116,7 @@
     helper = await world.neighbour("helper", store)
     path = world.path(await world.serve(reject), [helper])
     assert [await call_store(path), await call_store(path)] == [503, 503]
-    await until(lambda: path.via == helper)
+    await wait_until(lambda: path.via == helper)
     assert await call_store(path) == 200
 
 
@@ -127,7 +127,7 @@
     near = await world.neighbour("near", store)
     path = world.path(UNREACHABLE, [*far, near])
     await fail_twice(path)
-    await until(lambda: path.via is not None)
+    await wait_until(lambda: path.via is not None)
     assert path.via == near
 
 
@@ -139,7 +139,7 @@
     far = await world.neighbour("far", store, "there")
     path = world.path(UNREACHABLE, [*near, far])
     await fail_twice(path)
-    await until(lambda: path.via is not None)
+    await wait_until(lambda: path.via is not None)
     assert path.via == far
 
 
@@ -160,7 +160,7 @@
     other = await world.neighbour("other", UNREACHABLE)
     path = world.path(UNREACHABLE, [other])
     await fail_twice(path)
-    await until(lambda: path.search_task.done())
+    await wait_until(lambda: path.search_task.done())
     assert path.via is None
     assert isinstance(await call_store(path), FetchError)
 
--- a/tests/own_time.py
+++ b/tests/virtual_time.py
@@ -1,12 +1,12 @@
-"""A loop in its own time: seconds cost nothing, and a seed plays alike each time."""
+"""Event loop in virtual time: waiting takes no real time, and runs are repeatable."""
 
 import asyncio
 
 from gypsumshift.clock import SystemClock
 
 
-class OwnTime(asyncio.SelectorEventLoop):
-    """Loop whose time goes on at once to the next thing that waits for it."""
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
+    """Event loop whose time jumps to the next timer when no callback is ready."""
 
     seconds = 100.0
 
@@ -20,7 +20,7 @@
 
 
 class LoopClock(SystemClock):
-    """Clock of the running loop."""
+    """Clock that shows the time of the running event loop."""
 
     def monotonic(self):
         return asyncio.get_running_loop().time()
@@ -29,7 +29,7 @@
         return self.monotonic()
 
 
-def play(scenario):
-    """Run a coroutine function in a time of its own."""
-    with asyncio.Runner(loop_factory=OwnTime) as runner:
+def run_in_virtual_time(scenario):
+    """Run a coroutine function on a new event loop in virtual time."""
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(scenario())
