--- a/tests/test_fatal_platform.py
+++ b/tests/test_fatal_platform.py
@@ -24,7 +24,7 @@
         stopped = ManualClock()
         stopped.seconds = world.gateway.clock.monotonic()
         world.gateway.guard.quarantine.clock = stopped
-        # Ids of workers are random hexadecimal digits, and the trace finds every line in
+        # Worker ids are random hexadecimal digits, and the trace finds each line in
         # which an id occurs, so no request id may consist of such digits.
         exchange, _ = await world.send_request(
             "POST", "/app/1", "request-1", b"fatal", key="secret"
