--- a/tests/test_fatal_dispatch.py
+++ b/tests/test_fatal_dispatch.py
@@ -60,7 +60,7 @@
     async def work(sys):
         entry = sys.entries[0]
         stop_quarantine_clock(entry)
-        crashed = make_crash_on_fatal(sys.services, "run")
+        crashed = make_crash_on_fatal(sys.services, "run_request")
         answer = await send_put(entry, FATAL)
         assert answer.status == 504 and len(crashed) == CRASH_LIMIT
         answer = await send_put(entry, FATAL)
@@ -86,7 +86,7 @@
 def test_a_fatal_sample_crashes_three_engines_and_the_other_groups_are_delivered():
     async def work(sys):
         stop_quarantine_clock(sys.entries[0])
-        crashed = make_crash_on_fatal(sys.engines, "complete")
+        crashed = make_crash_on_fatal(sys.engines, "serve_completion")
         async with sys.trainer() as trainer:
             prompts = {"g0": "fatal", "g1": "p 1", "g2": "p 2"}
             groups = [Group(name, p, samples=2) for name, p in prompts.items()]
@@ -105,7 +105,7 @@
         entry = sys.entries[0]
         stop_quarantine_clock(entry)
         quarantine = entry.dispatcher.guard.quarantine
-        crashed = make_crash_on_fatal(sys.engines, "complete")
+        crashed = make_crash_on_fatal(sys.engines, "serve_completion")
         async with sys.trainer() as trainer:
             await trainer.submit([Group("g0", "fatal", samples=1)])
             pull = asyncio.create_task(trainer.step(1))
