--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak: the real programs under random faults from outside, checked as they run."""
+"""Fault soak: runs the real programs under random external faults, with checks."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -22,15 +22,15 @@
 CALLERS = 4
 TRAINERS = 2
 READERS = 4
-# Seconds behind the last fault in which callers go on: for what is known everywhere by
-# then to be seen.
+# Time for which callers go on after the last fault, so that the checks also cover the
+# time in which all processes have received the current state.
 CALM_S = 8.0
-# Seconds after the last fault in which every accepted job must be whole.
+# Time after the last fault by which every accepted job must be complete.
 SETTLE_TIMEOUT_S = 60.0
 
 
 async def soak(folder: pathlib.Path, seed: int, seconds: float, nodes: int):
-    """Play one run; return what is wrong, and a line on what was played."""
+    """Run one seed; return the violations, a summary line and the injected faults."""
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, asyncio.current_task().cancel)
     deployment = Deployment(folder, seed, nodes)
@@ -43,34 +43,34 @@
         callers += [asyncio.create_task(workload.train()) for _ in range(TRAINERS)]
         callers += [asyncio.create_task(workload.read_on()) for _ in range(READERS)]
         callers.append(asyncio.create_task(send_fatal_requests(workload, seed)))
-        keeping = asyncio.create_task(deployment.keep_workers())
-        changing = asyncio.create_task(workload.keys.run_rotation())
+        restarting = asyncio.create_task(deployment.keep_workers())
+        key_rotation = asyncio.create_task(workload.keys.run_rotation())
         await faults.run(seconds)
-        changing.cancel()
+        key_rotation.cancel()
         await wait_all_ready(deployment)
         calm_from = time.time()
         await asyncio.sleep(CALM_S)
         workload.stopping = True
         await asyncio.gather(*callers)
-        wrong = await settle(workload, deployment)
-        wrong += await check_usage_reports(deployment)
-        keeping.cancel()
+        violations = await settle(workload, deployment)
+        violations += await check_usage_reports(deployment)
+        restarting.cancel()
     finally:
         await deployment.close()
-    wrong += check_backends(folder, workload.seen)
-    wrong += check_fatal_requests(folder, calm_from)
-    wrong += check_keys(folder, workload.keys)
+    violations += check_backends(folder, workload.seen)
+    violations += check_fatal_requests(folder, calm_from)
+    violations += check_keys(folder, workload.keys)
     seen = workload.seen
-    played = (
+    summary = (
         f"{seen.served_count} requests served, {len(seen.refused)} refused, "
         f"{len(seen.jobs)} jobs, {len(faults.injected)} faults"
     )
-    return wrong, played, faults.injected
+    return violations, summary, faults.injected
 
 
 async def settle(workload: Workload, deployment: Deployment) -> list[str]:
-    """Read every job at every gateway, once all faults have ended."""
-    wrong = []
+    """Read and check every job at every gateway, after all faults have ended."""
+    violations = []
     gateways = deployment.of_kind("gateway")
     until = asyncio.get_running_loop().time() + SETTLE_TIMEOUT_S
     for job, items in workload.seen.jobs.items():
@@ -78,49 +78,56 @@
             async with asyncio.timeout_at(until):
                 pages = [await workload.read(job, gateway) for gateway in gateways]
         except TimeoutError:
-            wrong.append(
-                f"{job}: is not whole {SETTLE_TIMEOUT_S:.0f} s after the last fault"
+            violations.append(
+                f"{job}: is not complete {SETTLE_TIMEOUT_S:.0f} s after the last fault"
             )
             continue
-        wrong += check_results(job, items, pages)
-    return wrong
+        violations += check_results(job, items, pages)
+    return violations
 
 
 def main(
-    seed: Annotated[int, typer.Option(help="Of the first run.")] = 1,
-    seconds: Annotated[float, typer.Option(help="Of faults in each run.")] = 15,
-    nodes: Annotated[int, typer.Option(help="Gateways, agents, workers.")] = 3,
-    runs: Annotated[int, typer.Option(help="Runs, each with the next seed.")] = 1,
+    seed: Annotated[int, typer.Option(help="Seed of the first run.")] = 1,
+    seconds: Annotated[
+        float, typer.Option(help="Duration of the faults in each run.")
+    ] = 15,
+    nodes: Annotated[
+        int, typer.Option(help="Number of gateways, agents, workers each.")
+    ] = 3,
+    runs: Annotated[
+        int, typer.Option(help="Number of runs, each with the next seed.")
+    ] = 1,
     keep: Annotated[str, typer.Option(help="Folder for logs of failed runs.")] = "",
     regression: Annotated[
-        bool, typer.Option(help="Play the seeds that once failed instead.")
+        bool, typer.Option(help="Run the seeds that once failed instead.")
     ] = False,
 ) -> None:
-    """Run the real programs under random faults and check the promises."""
-    due = [(number, seconds, nodes) for number in range(seed, seed + runs)]
+    """Run the real programs under random faults and check the guarantees."""
+    planned = [(number, seconds, nodes) for number in range(seed, seed + runs)]
     if regression:
-        due = [(known.seed, known.seconds, known.nodes) for known in SEEDS]
-    failed = [one for one in due if not play(*one, keep)]
+        planned = [(known.seed, known.seconds, known.nodes) for known in SEEDS]
+    failed = [one for one in planned if not play(*one, keep)]
     sys.exit(1 if failed else 0)
 
 
 def play(number: int, seconds: float, nodes: int, keep: str) -> bool:
-    """Play one seed and print what came of it; return whether all promises held."""
+    """Run one seed and print the result; return whether all guarantees held."""
     with KeptFolder(keep, number) if keep else tempfile.TemporaryDirectory() as name:
         run = soak(pathlib.Path(name), number, seconds, nodes)
-        wrong, played, done = asyncio.run(run)
-    print(f"seed {number}: {played}; {len(wrong)} broken promises", flush=True)
-    for line in wrong[:20]:
+        violations, summary, faults = asyncio.run(run)
+    print(f"seed {number}: {summary}; {len(violations)} broken promises", flush=True)
+    for line in violations[:20]:
         print(f"  {line}")
-    if wrong:
-        print("  faults: " + "; ".join(done))
-    return not wrong
+    if violations:
+        print("  faults: " + "; ".join(faults))
+    return not violations
 
 
 class KeptFolder:
-    """A new folder that stays after its run.
+    """A new folder for each run, which is kept after it.
 
-    What an earlier run of the seed wrote would be counted as this one's.
+    It is not reused for another run of the seed: files of the earlier run would be
+    counted as results of the new one.
     """
 
     def __init__(self, parent: str, seed: int):
@@ -131,7 +138,7 @@
         return self.path
 
     def __exit__(self, *error) -> None:
-        """Leave it as it is."""
+        """Keep the folder."""
 
 
 if __name__ == "__main__":
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,4 +1,4 @@
-"""Checks: the promises, from what callers and backend servers saw."""
+"""Check guarantees against the observations of callers and backend servers."""
 
 import collections
 import pathlib
@@ -13,59 +13,62 @@
 
 
 def check_backends(folder: pathlib.Path, seen: Observations) -> list[str]:
-    """Return the promises that the backend servers saw broken."""
-    wrong = list(seen.violations)
+    """Return violations seen by callers or found in the backend servers' run logs."""
+    violations = list(seen.violations)
     runs = read_runs(folder, "app")
     counts = collections.Counter(r["request"] for r in runs if "request" in r)
     for request in seen.unrepeatable:
         if counts[request] > 1:
-            wrong.append(f"{request}: ran {counts[request]} times")
+            violations.append(f"{request}: ran {counts[request]} times")
     for request in seen.refused & seen.unrepeatable:
         if counts[request]:
-            wrong.append(f"{request}: said not to have run, and has")
-    return wrong + check_orders(read_runs(folder, "engine"))
+            violations.append(f"{request}: was refused as not run, but ran")
+    return violations + check_orders(read_runs(folder, "engine"))
 
 
 def check_orders(runs: list[dict]) -> list[str]:
-    """Return the orders that came from two holders or with falling fences."""
-    wrong = []
-    last: dict[str, dict] = {}
+    """Return weight orders from another holder or with a decreased fence."""
+    violations = []
+    previous: dict[str, dict] = {}
     for run in runs:
         order = run.get("order")
         if order is None:
             continue
-        before = last.get(run["file"], order)
+        before = previous.get(run["file"], order)
         if before["holder"] != order["holder"] or before["fence"] > order["fence"]:
-            wrong.append(f"{run['file']}: {order} after {before}")
-        last[run["file"]] = order
-    return wrong
+            violations.append(
+                f"{run['file']}: order {order} with another holder or a lower fence "
+                f"than {before}"
+            )
+        previous[run["file"]] = order
+    return violations
 
 
 def check_results(job: str, items: set[str], pages: list[list[dict]]) -> list[str]:
-    """Return what is wrong with a job's results, as all gateways gave them."""
-    wrong = []
+    """Return violations in a job's results, given as one list for each gateway."""
+    violations = []
     first = pages[0]
     if any(page != first for page in pages):
-        wrong.append(f"{job}: two gateways give two orders")
+        violations.append(f"{job}: gateways return the results in different orders")
     ids = [result["id"] for result in first]
     if sorted(ids) != sorted(items):
-        wrong.append(f"{job}: items are missing or stand twice: {ids}")
+        violations.append(f"{job}: items are missing or duplicated: {ids}")
     for result in first:
-        wrong += check_result(result)
-    return wrong
+        violations += check_result(result)
+    return violations
 
 
 def check_result(result: dict) -> list[str]:
-    """Return what is wrong with one result."""
+    """Return violations in one result."""
     item = result["id"]
     if result["state"] != "succeeded":
-        return [f"{item}: {result['state']}"]
-    whole = "\n".join(event_text(item, n) for n in range(1, EVENTS_PER_ITEM + 1))
-    wrong = []
-    if result["text"] != whole:
-        wrong.append(f"{item}: a wrong text")
+        return [f"{item}: state is {result['state']}, not succeeded"]
+    expected = "\n".join(event_text(item, n) for n in range(1, EVENTS_PER_ITEM + 1))
+    violations = []
+    if result["text"] != expected:
+        violations.append(f"{item}: its text is not that of its events")
     if not result["versions"]:
-        wrong.append(f"{item}: no versions")
+        violations.append(f"{item}: no weight versions")
     if not result["score"].endswith(f".score-{item}"):
-        wrong.append(f"{item}: the score of another item")
-    return wrong
+        violations.append(f"{item}: score of another item")
+    return violations
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -1,4 +1,4 @@
-"""Deployment: the real programs and the stand-ins as processes on loopback."""
+"""Run the real programs and the stand-ins as processes on loopback addresses."""
 
 import asyncio
 import json
@@ -18,20 +18,29 @@
 __all__ = ["Deployment", "Process"]
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
+# Second numbers of the loopback addresses that runs choose from.
 FIRST_BLOCK, BLOCK_COUNT = 20, 200
-# Text in a body under which a worker ends, and seconds until it is started again.
+# A worker crashes when the body of a request contains this text, and is restarted after
+# the delay below.
 FATAL_TEXT = "fatal"
 RESTART_DELAY_S = 0.3
-FRONT, READY, WORKER, STORE, NEIGHBOURS, CLOUD = 8100, 8101, 8200, 8300, 8400, 8500
-# Seconds after which a key that was taken away must not run anything any more.
+FRONT_PORT, READY_PORT, WORKER_PORT, STORE_PORT, NEIGHBOUR_PORT, CLOUD_PORT = (
+    8100,
+    8101,
+    8200,
+    8300,
+    8400,
+    8500,
+)
+# Time after which a removed key must not run any request.
 REVOKED_WITHIN_S = 3.0
-# Seconds of a window whose usage is told.
+# Length of the windows for which usage is reported.
 REPORT_WINDOW_S = 2.0
 
 
 @attrs.define
 class Process:
-    """One program that the soak started, and starts again.
+    """A program that the soak starts and restarts.
 
     Attributes
     ----------
@@ -40,10 +49,10 @@
     environment : dict
     log : pathlib.Path
     proxy : Proxy or None
-        Its way to the store.
+        Proxy through which it connects to the store; None for stand-ins.
     child : asyncio.subprocess.Process or None
     lock : asyncio.Lock
-        Held while it is being ended and started again.
+        Held while it is stopped and restarted.
     """
 
     name: str
@@ -56,7 +65,7 @@
     lock: asyncio.Lock = attrs.field(factory=asyncio.Lock)
 
     async def start(self) -> None:
-        """Start it."""
+        """Start the program; its output is appended to the log."""
         with self.log.open("ab") as log:
             self.child = await asyncio.create_subprocess_exec(
                 *self.command,
@@ -67,12 +76,12 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if it still runs."""
+        """Send a signal, if the program is running."""
         if self.child and self.child.returncode is None:
             self.child.send_signal(number)
 
     async def stop(self) -> None:
-        """End it for good."""
+        """Kill the program, also if it is suspended, and wait until it has ended."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
         if self.child:
@@ -82,18 +91,21 @@
 def claim_block(seed: int) -> tuple[int, socket.socket]:
     """Return the second number of loopback addresses that no other run uses.
 
-    Two runs whose seeds led to one block met: the second found the first one's store.
-    The socket holds the block until this process ends or closes it.
+    Two runs whose seeds map to the same number would share addresses, and the second
+    would use the store of the first. The returned socket reserves the number until it
+    is closed or this process ends.
     """
     for number in range(BLOCK_COUNT):
         block = FIRST_BLOCK + (seed + number) % BLOCK_COUNT
         claim = socket.socket(type=socket.SOCK_DGRAM)
         try:
-            claim.bind((f"127.{block}.255.254", STORE))
+            claim.bind((f"127.{block}.255.254", STORE_PORT))
             return block, claim
         except OSError:
             claim.close()
-    raise RuntimeError("another run holds each block of addresses")
+    raise RuntimeError(
+        f"no loopback addresses are free: other runs use all {BLOCK_COUNT} blocks"
+    )
 
 
 class Deployment:
@@ -102,11 +114,11 @@
     Parameters
     ----------
     folder : pathlib.Path
-        For settings and logs.
+        Folder for settings and logs.
     seed : int
-        The search for loopback addresses of its own begins there.
+        Determines where the search for unused loopback addresses begins.
     nodes : int
-        Gateways, engines with an agent each, and plain workers, of each so many.
+        Number of gateways, of engines with an agent each, and of plain workers.
     """
 
     def __init__(self, folder: pathlib.Path, seed: int, nodes: int):
@@ -120,49 +132,49 @@
         self.restart_tasks: list[asyncio.Task] = []
 
     def next_ip(self) -> str:
-        """Return a loopback address of its own."""
+        """Return a loopback address that no other process uses."""
         self.ip_count += 1
         return f"127.{self.block}.{self.ip_count // 200}.{self.ip_count % 200 + 1}"
 
     def of_kind(self, kind: str) -> list[Process]:
-        """Return the processes of a kind, such as ``gateway``."""
+        """Return the processes whose name starts with a kind, such as ``gateway``."""
         return [p for p in self.processes if p.name.startswith(kind)]
 
     @property
     def store_address(self) -> tuple[str, int]:
-        """Address of the store itself."""
-        return self.of_kind("store")[0].ip, STORE
+        """Address of the store, without a proxy."""
+        return self.of_kind("store")[0].ip, STORE_PORT
 
     @property
     def cloud_address(self) -> tuple[str, int]:
-        """Where the platform takes calls of duties."""
-        return self.of_kind("cloud")[0].ip, CLOUD
+        """Address of the cloud API, which receives usage reports."""
+        return self.of_kind("cloud")[0].ip, CLOUD_PORT
 
     async def start(self, first: dict) -> None:
-        """Start everything with a first configuration, until all gateways are ready."""
-        store = self.add("store", "standins.users_store", "--port", str(STORE))
+        """Start all processes with a first configuration; wait for the gateways."""
+        store = self.add("store", "standins.users_store", "--port", str(STORE_PORT))
         await store.start()
         await self.until_answered(self.store_address, "GET", "/none", 404)
-        cloud = self.add("cloud", "standins.users_cloud", "--port", str(CLOUD))
+        cloud = self.add("cloud", "standins.users_cloud", "--port", str(CLOUD_PORT))
         await cloud.start()
         await self.write("op", "config", first)
         for number in range(self.nodes):
             await self.add_worker(f"app-{number}", "app")
             engine = await self.add_worker(f"engine-{number}", "pool", MODEL)
-            app = {"app": f"{engine.ip}:{WORKER}", "service": "pool"}
+            app = {"app": f"{engine.ip}:{WORKER_PORT}", "service": "pool"}
             await self.add_node(f"agent-{number}", app)
-            front = {"listen.front": FRONT, "listen.ready": READY}
+            front = {"listen.front": FRONT_PORT, "listen.ready": READY_PORT}
             await self.add_node(f"gateway-{number}", front)
         for gateway in self.of_kind("gateway"):
             await self.until_ready(gateway)
 
     async def until_ready(self, gateway: Process) -> None:
-        """Wait until a gateway says that it is ready."""
-        address = (gateway.ip, READY)
+        """Wait until the readiness check of a gateway succeeds."""
+        address = (gateway.ip, READY_PORT)
         await self.until_answered(address, "GET", "/gypsumshift/ready", 200)
 
     async def keep_workers(self) -> None:
-        """Start workers again that ended by themselves, until cancelled."""
+        """Restart workers that crashed, until cancelled."""
         while True:
             await asyncio.sleep(0.1)
             for process in self.of_kind("app") + self.of_kind("engine"):
@@ -170,18 +182,18 @@
                     self.restart_tasks.append(
                         asyncio.create_task(self.restart_ended(process))
                     )
-                    # Takes the lock before it is looked at again.
+                    # Lets the task take the lock before the process is checked again.
                     await asyncio.sleep(0)
 
     async def restart_ended(self, process: Process) -> None:
-        """Start a worker again that ended by itself."""
+        """Restart a worker that crashed, after a delay."""
         async with process.lock:
             await asyncio.sleep(RESTART_DELAY_S)
             if process.child.returncode is not None:
                 await process.start()
 
     def add(self, name: str, module: str, *arguments: str) -> Process:
-        """Add a stand-in."""
+        """Add a stand-in without starting it."""
         ip = self.next_ip()
         command = [sys.executable, "-m", module, "--ip", ip, *arguments]
         process = Process(name, ip, command, {}, self.folder / f"{name}.log")
@@ -189,12 +201,12 @@
         return process
 
     async def add_worker(self, name: str, service: str, models: str = "") -> Process:
-        """Add and start a stand-in of a worker."""
+        """Add and start a fake worker."""
         store = "{}:{}".format(*self.store_address)
         runs = str(self.folder / f"{name}.runs")
-        # Every other worker starts again under the id that it had.
+        # Every other worker keeps its id across restarts.
         same_id = f"i-{name}" if name.endswith(("0", "2")) else ""
-        arguments = ["--port", str(WORKER), "--service", service, "--store", store]
+        arguments = ["--port", str(WORKER_PORT), "--service", service, "--store", store]
         arguments += ["--models", models, "--runs", runs, "--name", same_id]
         arguments += ["--fatal", FATAL_TEXT]
         process = self.add(name, "standins.users_worker", *arguments)
@@ -209,7 +221,7 @@
         for key, value in fields.items():
             if key.startswith("listen"):
                 fields[key] = f"{ip}:{value}"
-        fields["port_range"] = f"{NEIGHBOURS},{NEIGHBOURS}"
+        fields["port_range"] = f"{NEIGHBOUR_PORT},{NEIGHBOUR_PORT}"
         fields["cloud_api.addr"] = "{}:{}".format(*self.cloud_address)
         fields["cloud_api.duties"] = "usage"
         fields["bounds.report_window_s"] = REPORT_WINDOW_S
@@ -226,7 +238,7 @@
         return process
 
     async def write(self, table: str, key: str, value: dict | bytes) -> None:
-        """Write into the store as the operator, a trainer or anyone does."""
+        """Write a row to the store, with retries until it is stored."""
         row = (table, key, value)
         while True:
             if await put_row(self.fetcher, self.store_address, row):
@@ -234,29 +246,29 @@
             await asyncio.sleep(0.1)
 
     async def set_store(self, **faults) -> None:
-        """Switch the store's faults; none ends them all."""
+        """Set the faults of the store; call without faults to end them all."""
         body = json.dumps(faults).encode()
         await self.fetcher.fetch(self.store_address, "PUT", "/faults", [], body)
 
     async def set_cloud(self, **faults) -> None:
-        """Switch the faults of the platform's own interface; none ends them all."""
+        """Set the faults of the cloud API; call without faults to end them all."""
         body = json.dumps(faults).encode()
         await self.fetcher.fetch(self.cloud_address, "PUT", "/faults", [], body)
 
     async def until_answered(self, address, method, target, status) -> None:
-        """Wait until an address answers as it should."""
+        """Wait until an address answers a request with the given status."""
         while True:
             try:
                 answer = await self.fetcher.fetch(address, method, target, [], b"", 1.0)
                 if answer.status == status:
                     return
             except FetchError:
-                # Not up yet: this is asked until it is.
+                # The process is not listening yet; the request is repeated.
                 pass
             await asyncio.sleep(0.1)
 
     async def close(self) -> None:
-        """End all processes that this run started."""
+        """Stop all processes that this run started."""
         for task in self.restart_tasks:
             task.cancel()
         await asyncio.gather(*(process.stop() for process in self.processes))
--- a/soak/fatal.py
+++ b/soak/fatal.py
@@ -1,4 +1,4 @@
-"""Fatal requests: callers whose requests end the workers that run them."""
+"""Send requests that crash their workers, and check how often they are sent on."""
 
 import asyncio
 import collections
@@ -10,65 +10,74 @@
 from soak.runs import read_runs
 from soak.workload import Workload
 
-__all__ = ["wait_all_ready", "check_fatal_requests", "send_fatal_requests"]
+__all__ = ["check_fatal_requests", "send_fatal_requests", "wait_all_ready"]
 
-# Seconds between two such requests, at any gateway.
+# Range of the time between two such requests, over all gateways.
 SEND_GAPS_S = (0.1, 0.6)
-# One that may be repeated and one that may not, and how often each is sent.
+# A repeatable and a non-repeatable request, and their relative frequencies.
 REQUESTS = (("/app/1", f"{FATAL_TEXT} 1"), ("/once/1", f"{FATAL_TEXT} 2"))
 WEIGHTS = (4, 1)
-# Workers that may end under one, seconds within which all gateways know, and sends
-# that they may make later.
+# Crashes after which a request is to be stopped, the time within which all gateways
+# receive that, and the number of sends that are still accepted after that time.
 CRASH_LIMIT = 3
 KNOWN_WITHIN_S = 3.0
 MAX_LATE_SENDS = 3
 
 
 async def send_fatal_requests(workload: Workload, seed: int) -> None:
-    """Send them again and again under new ids; each must be said to have failed."""
-    chance = random.Random(f"{seed} fatal")
+    """Send fatal requests under new ids; none may be answered with 200."""
+    rng = random.Random(f"{seed} fatal")
     for number in itertools.count():
         if workload.stopping:
             return
-        ((target, body),) = chance.choices(REQUESTS, WEIGHTS)
+        ((target, body),) = rng.choices(REQUESTS, WEIGHTS)
         name = f"fatal-{seed}-{number}"
-        gateway = chance.choice(workload.deployment.of_kind("gateway"))
+        gateway = rng.choice(workload.deployment.of_kind("gateway"))
         answer = await workload.send_request(
             "POST", target, name, body.encode(), gateway
         )
         if answer is not None and answer[0] == 200:
             workload.seen.violations.append(
-                f"{name}: answered, though its worker ended"
+                f"{name}: answered with 200, although it crashes its worker"
             )
         if answer is not None and answer[0] in (429, 503):
             workload.seen.refused.add(name)
         if target.startswith("/once"):
             workload.seen.unrepeatable.add(name)
-        await asyncio.sleep(chance.uniform(*SEND_GAPS_S))
+        await asyncio.sleep(rng.uniform(*SEND_GAPS_S))
 
 
 async def wait_all_ready(deployment: Deployment) -> None:
-    """Wait until all gateways say that they are ready."""
+    """Wait until all gateways are ready."""
     await asyncio.gather(*map(deployment.until_ready, deployment.of_kind("gateway")))
 
 
 def check_fatal_requests(folder: pathlib.Path, calm_from: float) -> list[str]:
-    """Return the requests that were sent on after they had ended enough workers.
+    """Return the requests that were sent again after they had crashed enough workers.
 
-    Only what was sent in the calm behind all faults counts: a gateway that is frozen
-    or cut off cannot know. ``calm_from`` is in seconds since 1970.
+    Only sends after the end of all faults count, since a gateway that is suspended or
+    cut off from the store cannot receive reports of crashes.
+
+    Parameters
+    ----------
+    folder : pathlib.Path
+    calm_from : float
+        When all faults had ended, as Unix time in seconds.
     """
     runs: dict[str, list[float]] = collections.defaultdict(list)
     for run in read_runs(folder, "app"):
         if "fatal" in run:
             runs[run["fatal"]].append(run["at"])
-    wrong = []
-    for body, begun in runs.items():
-        begun.sort()
-        if len(begun) <= CRASH_LIMIT:
+    violations = []
+    for body, started_at in runs.items():
+        started_at.sort()
+        if len(started_at) <= CRASH_LIMIT:
             continue
-        known_at = max(begun[CRASH_LIMIT - 1], calm_from) + KNOWN_WITHIN_S
-        late = [at for at in begun if at > known_at]
+        known_at = max(started_at[CRASH_LIMIT - 1], calm_from) + KNOWN_WITHIN_S
+        late = [at for at in started_at if at > known_at]
         if len(late) > MAX_LATE_SENDS:
-            wrong.append(f"{body}: sent {len(late)} times after all could know")
-    return wrong
+            violations.append(
+                f"{body}: sent {len(late)} times after all gateways had had "
+                f"{KNOWN_WITHIN_S} s to receive its {CRASH_LIMIT} crashes"
+            )
+    return violations
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults: what is done to the processes from outside, by a seed."""
+"""Inject seeded random faults into the processes of a deployment."""
 
 import asyncio
 import random
@@ -9,13 +9,15 @@
 
 __all__ = ["FaultInjector"]
 
+# Half of the longest time between the starts of two faults, and the longest duration of
+# a fault.
 FAULT_GAP_S = 0.8
 MAX_FAULT_S = 3.0
-# Seconds by which the store's answers to writes come late. A client waits longer.
+# Delays of the store's answers to writes. Clients wait longer than that.
 ANSWER_DELAYS_S = (0.3, 0.6, 0.9)
-# What the platform does where it takes calls of duties.
+# Faults of the cloud API, which receives usage reports.
 CLOUD_FAULTS = [{"status": 503}, {"status": 429}, {"slow": 2.0}, {"lose": True}]
-# What another writer may put where a worker's entry belongs.
+# Invalid rows that another writer may store in place of a worker's entry.
 INVALID_ENTRIES = [
     b"",
     b"\xff\x00",
@@ -27,12 +29,13 @@
 
 
 class FaultInjector:
-    """A series of faults that overlap.
+    """Injects a random series of overlapping faults.
 
     Parameters
     ----------
     deployment : Deployment
     seed : int
+        Determines the faults, their targets and their times.
     """
 
     def __init__(self, deployment: Deployment, seed: int):
@@ -52,7 +55,7 @@
         ]
         self.cloud_rng = random.Random(f"{seed} duties")
         self.version = 1
-        # Chances of their own: what a seed draws for the faults above stays the same.
+        # A separate generator, so that a seed draws the same faults above as before.
         self.delay_rng = random.Random(f"{seed} late answers")
         self.store_faults: dict[str, str | float] = {}
         self.store_delay: dict[str, float] = {}
@@ -62,18 +65,18 @@
         """Inject faults for a time, then wait until all have ended."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
-        late = asyncio.create_task(self.delay_store_answers(until))
-        refusing = asyncio.create_task(self.disturb_cloud(until))
+        delaying = asyncio.create_task(self.delay_store_answers(until))
+        disturbing = asyncio.create_task(self.disturb_cloud(until))
         while loop.time() < until:
-            kind = self.rng.choice(self.fault_methods)
+            method = self.rng.choice(self.fault_methods)
             span = self.rng.uniform(0.2, MAX_FAULT_S)
-            task = asyncio.create_task(kind(span))
+            task = asyncio.create_task(method(span))
             self.running.add(task)
             task.add_done_callback(self.running.discard)
             await asyncio.sleep(self.rng.uniform(0.1, 2 * FAULT_GAP_S))
         if self.running:
             await asyncio.wait(set(self.running))
-        await asyncio.gather(late, refusing)
+        await asyncio.gather(delaying, disturbing)
 
     def choose_process(self, *kinds: str) -> Process:
         """Return a process of one of the kinds."""
@@ -81,11 +84,11 @@
         return self.rng.choice(found)
 
     def record_fault(self, text: str) -> None:
-        """Keep what was done, for the report of a failure."""
+        """Record a fault, for the report of a failed run."""
         self.injected.append(text)
 
     async def kill_node(self, span: float) -> None:
-        """Kill a program, start it again."""
+        """Kill a gateway or agent, and restart it after a while."""
         process = self.choose_process("gateway", "agent")
         self.record_fault(f"kill {process.name} for {span:.1f} s")
         async with process.lock:
@@ -94,7 +97,7 @@
             await process.start()
 
     async def terminate_node(self, span: float) -> None:
-        """Tell a program to stop, start it again when it has."""
+        """Terminate a gateway or agent, and restart it once it has ended."""
         process = self.choose_process("gateway", "agent")
         self.record_fault(f"stop {process.name}")
         async with process.lock:
@@ -103,7 +106,7 @@
             await process.start()
 
     async def suspend_node(self, span: float) -> None:
-        """Suspend a program for a while."""
+        """Suspend a gateway or agent for a while."""
         process = self.choose_process("gateway", "agent")
         self.record_fault(f"freeze {process.name} for {span:.1f} s")
         process.signal(signal.SIGSTOP)
@@ -111,7 +114,7 @@
         process.signal(signal.SIGCONT)
 
     async def disturb_store_connection(self, span: float) -> None:
-        """Harm a program's way to the store."""
+        """Disturb the connection of a gateway or agent to the store for a while."""
         process = self.choose_process("gateway", "agent")
         modes = [mode for mode in Mode if mode is not Mode.PASS]
         mode = self.rng.choice(modes)
@@ -121,7 +124,7 @@
         process.proxy.set_mode(Mode.PASS)
 
     async def disturb_store(self, span: float) -> None:
-        """Have the store misbehave."""
+        """Set faults of the store for a while."""
         faults = self.rng.choice(
             [
                 {"down": "busy"},
@@ -140,7 +143,7 @@
         await self.switch_store()
 
     async def delay_store_answers(self, until: float) -> None:
-        """Have the store answer writes late, again and again beside other faults."""
+        """Delay answers to writes from time to time, besides the other faults."""
         while True:
             await asyncio.sleep(self.delay_rng.uniform(0.1, 2 * MAX_FAULT_S))
             if asyncio.get_running_loop().time() >= until:
@@ -155,7 +158,7 @@
             await self.switch_store()
 
     async def disturb_cloud(self, until: float) -> None:
-        """Have the platform be slow, refuse or lose answers where it takes duties."""
+        """Make the cloud API slow, refuse calls or lose answers from time to time."""
         while True:
             await asyncio.sleep(self.cloud_rng.uniform(0.1, 2 * MAX_FAULT_S))
             if asyncio.get_running_loop().time() >= until:
@@ -168,12 +171,15 @@
             await self.deployment.set_cloud()
 
     async def switch_store(self) -> None:
-        """Tell the store its faults; the last one told has all that hold then."""
+        """Set the store's faults to those in effect.
+
+        The lock keeps the requests in order, so the last one has the current faults.
+        """
         async with self.switch_lock:
             await self.deployment.set_store(**self.store_faults, **self.store_delay)
 
     async def kill_worker(self, span: float) -> None:
-        """Kill a backend server, start it again, under its id or as a new one."""
+        """Kill a backend server and restart it, under its id or a new one."""
         process = self.choose_process("engine", "app")
         self.record_fault(f"kill {process.name} for {span:.1f} s")
         async with process.lock:
@@ -182,7 +188,7 @@
             await process.start()
 
     async def publish_version(self, span: float) -> None:
-        """Name new weights, as a trainer does."""
+        """Write a new weight version to the store, as a trainer does."""
         self.version += 1
         version = self.version
         self.record_fault(f"version {version}")
@@ -190,9 +196,9 @@
         await self.deployment.write("op", "version/m", value)
 
     async def write_invalid_entry(self, span: float) -> None:
-        """Write an entry that is none, under the id of a worker or beside it."""
+        """Write an invalid worker entry, under a worker's id or an unknown one."""
         process = self.choose_process("engine", "app")
         key = self.rng.choice([f"i-{process.name}", "i-nobody"])
         entry = self.rng.choice(INVALID_ENTRIES)
-        self.record_fault(f"foreign entry {key}: {entry[:30]!r}")
+        self.record_fault(f"invalid entry {key}: {entry[:30]!r}")
         await self.deployment.write("servers", key, entry)
--- a/soak/keys.py
+++ b/soak/keys.py
@@ -1,4 +1,4 @@
-"""Keys: workspaces whose keys come and go, and what must never run with them."""
+"""Rotate workspace keys, and check that removed keys no longer run requests."""
 
 import asyncio
 import itertools
@@ -15,21 +15,22 @@
 __all__ = ["KeyRotator", "SentRequest", "check_keys"]
 
 WORKSPACES = ("red", "blue")
-# Seconds between two configurations, each of which takes a key away and gives one.
+# Range of the time between two configurations, each of which replaces a key.
 CHANGE_GAPS_S = (0.3, 2.5)
-# Seconds after which a new key is known wherever the store is heard.
+# Time after which a new key is known to all gateways that receive the store's changes.
 KNOWN_WITHIN_S = 3.0
 
 
 @attrs.define
 class Key:
-    """One key of a workspace.
+    """A key of a workspace.
 
     Attributes
     ----------
     text, workspace : str
-    given_at, gone_at : float
-        When the store had acknowledged that, in seconds since 1970; 0 for not yet.
+    added_at, removed_at : float
+        When the store acknowledged that the key was added or removed, as Unix time in
+        seconds; 0 if it has not yet.
     """
 
     text: str
@@ -40,13 +41,13 @@
 
 @attrs.frozen
 class SentRequest:
-    """One request with a key.
+    """A request that was sent with a key.
 
     Attributes
     ----------
     key : Key
     at : float
-        When its caller began to send it.
+        When its caller began to send it, as Unix time in seconds.
     """
 
     key: Key
@@ -54,7 +55,7 @@
 
 
 class KeyRotator:
-    """The operator who gives and takes keys, and the callers' choice of one.
+    """Adds and removes keys as an operator does, and chooses keys for requests.
 
     Parameters
     ----------
@@ -63,10 +64,10 @@
 
     Attributes
     ----------
-    lasting : Key
-        One that is never taken away.
-    sent : dict
-        `Sent` by request.
+    permanent : Key
+        A key that is never removed.
+    sent_requests : dict
+        `SentRequest` by request id.
     """
 
     def __init__(self, deployment: Deployment, seed: int):
@@ -80,18 +81,18 @@
         self.sent_requests: dict[str, SentRequest] = {}
 
     def new_key(self, workspace: str) -> Key:
-        """Return a key that there was not before."""
+        """Return a key that was never used before."""
         return Key(f"key-{workspace}-{next(self.key_numbers)}", workspace)
 
     def make_config(self) -> dict:
-        """Return the configuration with the keys that are good now."""
+        """Return the configuration with the keys that are valid now."""
         keys: dict[str, list[str]] = {name: [] for name in WORKSPACES}
         for key in self.valid_keys:
             keys[key.workspace].append(key.text)
         return config(self.version, slots=6, workspaces=keys)
 
     async def write_config(self) -> None:
-        """Put the keys in force; returns once the store has them."""
+        """Write the configuration, and record when the store acknowledged it."""
         await self.deployment.write("op", "config", self.make_config())
         for key in self.valid_keys:
             key.added_at = key.added_at or time.time()
@@ -99,7 +100,7 @@
             key.removed_at = key.removed_at or time.time()
 
     async def run_rotation(self) -> None:
-        """Give and take keys until cancelled."""
+        """Replace a random key again and again, until cancelled."""
         while True:
             await asyncio.sleep(self.rng.uniform(*CHANGE_GAPS_S))
             old = self.rng.choice(self.valid_keys[1:])
@@ -110,40 +111,43 @@
             await self.write_config()
 
     def choose_key(self, request: str) -> str:
-        """Return the key for a request: a good one, or one that is none any more."""
-        known = self.valid_keys + self.removed_keys[-8:]
+        """Choose the key for a request: a valid one, or one removed recently."""
+        candidates = self.valid_keys + self.removed_keys[-8:]
         sent = self.sent_requests[request] = SentRequest(
-            self.rng.choice(known), time.time()
+            self.rng.choice(candidates), time.time()
         )
         return sent.key.text
 
     def check_answer(self, request: str, status: int) -> str:
-        """Return what is wrong with an answer; empty for nothing."""
+        """Return the violation in the answer to a request; empty if there is none."""
         sent = self.sent_requests.get(request)
         if sent is None or status != 401:
             return ""
         key = sent.key
         known = key.added_at and sent.at > key.added_at + KNOWN_WITHIN_S
-        # One that is being taken away may be unknown.
+        # A key that is being removed may be rejected already.
         if not known or key not in self.valid_keys:
             return ""
-        return f"{request}: its key is good and was called unknown"
+        return f"{request}: rejected with 401, although its key is valid"
 
 
 def check_keys(folder: pathlib.Path, keys: KeyRotator) -> list[str]:
-    """Return the runs that no key allowed, or that were for another workspace."""
-    wrong = []
+    """Return runs without a valid key, for another workspace, or that show a key."""
+    violations = []
     for run in read_runs(folder, "app") + read_runs(folder, "engine"):
         name = run.get("request", "")
         if run.get("told_key"):
-            wrong.append(f"{name}: a worker was told a key")
+            violations.append(f"{name}: its key was sent on to a worker")
         sent = keys.sent_requests.get(name)
         if sent is None:
             continue
         if run["workspace"] != sent.key.workspace:
-            wrong.append(f"{name}: ran for {run['workspace']!r}, not its own workspace")
-        gone_at = sent.key.removed_at
-        if gone_at and sent.at > gone_at + REVOKED_WITHIN_S:
-            late = sent.at - gone_at
-            wrong.append(f"{name}: ran {late:.1f} s after its key was taken away")
-    return wrong
+            violations.append(
+                f"{name}: ran for workspace {run['workspace']!r}, its key is of "
+                f"{sent.key.workspace!r}"
+            )
+        removed_at = sent.key.removed_at
+        if removed_at and sent.at > removed_at + REVOKED_WITHIN_S:
+            late = sent.at - removed_at
+            violations.append(f"{name}: ran {late:.1f} s after its key was removed")
+    return violations
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Proxy: a loopback connection that can be delayed, reset, cut one way or silenced."""
+"""TCP proxy that can delay, reset, block one way or block all data."""
 
 import asyncio
 import enum
@@ -9,7 +9,11 @@
 
 
 class Mode(enum.Enum):
-    """What becomes of the bytes."""
+    """How the proxy handles data.
+
+    ``SILENT`` blocks both directions and ``ONE_WAY`` the answers only, without closing
+    the connections.
+    """
 
     PASS = "pass"
     DELAY = "delay"
@@ -19,7 +23,7 @@
 
 
 class Proxy:
-    """Passes connections on to one address.
+    """Forwards connections to one address.
 
     Parameters
     ----------
@@ -35,12 +39,12 @@
         self.resumed = asyncio.Event()
 
     async def listen(self, ip: str) -> None:
-        """Listen at a free port."""
+        """Listen on a free port."""
         server = await asyncio.start_server(self.serve_connection, ip, 0)
         self.address = server.sockets[0].getsockname()[:2]
 
     def set_mode(self, mode: Mode, delay_s: float = 0.0) -> None:
-        """Change what becomes of the bytes from now on."""
+        """Set how data is handled from now on; `Mode.RESET` aborts all connections."""
         self.mode, self.delay_s = mode, delay_s
         if mode is Mode.RESET:
             for writer in self.writers:
@@ -51,7 +55,7 @@
             self.resumed.clear()
 
     async def serve_connection(self, reader, writer) -> None:
-        """Pass one connection on."""
+        """Forward one connection until either side ends."""
         if self.mode is Mode.RESET:
             writer.transport.abort()
             return
@@ -71,7 +75,7 @@
         await asyncio.wait({there, back})
 
     async def forward(self, reader, writer, answers: bool) -> None:
-        """Pass bytes one way until either side ends."""
+        """Forward data in one direction until either side ends."""
         try:
             while data := await reader.read(READ_SIZE):
                 while self.is_held(answers):
@@ -85,6 +89,6 @@
             return
 
     def is_held(self, answers: bool) -> bool:
-        """Tell whether bytes of one direction are held back."""
+        """Return whether data of one direction is blocked."""
         one_way = self.mode is Mode.ONE_WAY and answers
         return one_way or self.mode is Mode.SILENT
--- a/soak/regression.py
+++ b/soak/regression.py
@@ -1,6 +1,6 @@
-"""Regression seeds: each run that ever broke a promise, with its cause.
+"""Seeds of runs that once violated a guarantee, with the cause of each.
 
-``python -m soak --regression`` plays them all, the tests those marked ``in_tests``.
+``python -m soak --regression`` runs them all, the tests those with ``in_tests``.
 """
 
 import attrs
@@ -8,29 +8,30 @@
 __all__ = ["SEEDS", "RegressionSeed"]
 
 DOUBLE_RUN_CAUSE = (
-    "requests that may not be repeated ran twice after their server was killed, since "
-    "the number of attempts alone bounded them"
+    "non-repeatable requests ran twice after their server was killed, because only the "
+    "number of attempts limited them"
 )
 LATE_ANSWER_CAUSE = (
-    "answers to writes came late, behind the feed: units that were adopted and done "
-    "ran again at the answers to their claims, and items stood at two positions"
+    "answers to writes arrived later than the writes in the feed: units that had been "
+    "adopted and completed ran again when the answers to their claims arrived, and "
+    "items were listed at two positions"
 )
 
 
 @attrs.frozen
 class RegressionSeed:
-    """One run that broke a promise before its cause was mended.
+    """A run that violated a guarantee before its cause was fixed.
 
     Attributes
     ----------
     seed : int
     seconds : float
-        Of faults.
+        Duration of the faults.
     nodes : int
-        Gateways, agents and workers, of each so many.
+        Number of gateways, agents and workers each.
     cause : str
     in_tests : bool
-        Whether the tests play it.
+        Whether the tests run it.
     """
 
     seed: int
--- a/soak/runs.py
+++ b/soak/runs.py
@@ -1,4 +1,4 @@
-"""Runs: what backend servers wrote down of what they ran."""
+"""Read the run logs of backend servers."""
 
 import json
 import pathlib
@@ -7,11 +7,11 @@
 
 
 def read_runs(folder: pathlib.Path, kind: str) -> list[dict]:
-    """Return what the backend servers of a kind wrote down, also before a kill."""
-    found = []
+    """Return the runs logged by all backend servers of a kind, across restarts."""
+    runs = []
     for file in sorted(folder.glob(f"{kind}-*.runs")):
         for line in file.read_text().splitlines():
-            # A server that is killed may leave half a line.
+            # A server that is killed may leave an incomplete line.
             if line.endswith("}"):
-                found.append(json.loads(line) | {"file": file.name})
-    return found
+                runs.append(json.loads(line) | {"file": file.name})
+    return runs
--- a/soak/usagereports.py
+++ b/soak/usagereports.py
@@ -1,4 +1,4 @@
-"""Duties: what the platform saw of the host that tells the usage."""
+"""Check the usage reports that the fake cloud API received."""
 
 import json
 
@@ -9,12 +9,14 @@
 
 
 async def check_usage_reports(deployment: Deployment) -> list[str]:
-    """Return what one holder at a time would never have sent, and windows left out."""
+    """Return reports that a single holder would not have sent, and missing windows."""
     answer = await deployment.fetcher.fetch(deployment.cloud_address, "GET", "/seen")
     calls = [Call(**call) for call in json.loads(answer.body)]
-    wrong = find_violations(calls)
-    told = {call.window for call in calls}
-    if not told:
-        return [*wrong, "no window was told"]
-    missing = [w for w in range(min(told), max(told)) if w not in told]
-    return wrong + [f"window {window} was not told" for window in missing]
+    violations = find_violations(calls)
+    reported = {call.window for call in calls}
+    if not reported:
+        return [*violations, "no usage window was reported"]
+    missing = [w for w in range(min(reported), max(reported)) if w not in reported]
+    return violations + [
+        f"usage window {window} was not reported" for window in missing
+    ]
--- a/soak/workload.py
+++ b/soak/workload.py
@@ -1,4 +1,4 @@
-"""Workload: callers and a trainer, and what they saw."""
+"""Send requests and jobs to a deployment, and record the answers."""
 
 import asyncio
 import itertools
@@ -8,7 +8,7 @@
 import attrs
 
 from gypsumshift.httpclient import Fetcher, FetchError
-from soak.deployment import FRONT, Deployment
+from soak.deployment import FRONT_PORT, Deployment
 from soak.keys import KeyRotator
 from soak.positions import PositionChecker
 from standins.users_documents import HOST, job_body, results_target
@@ -18,27 +18,27 @@
 
 GROUPS, GROUP_SIZE = 3, 3
 ANSWER_TIMEOUT_S = 4.0
-# Of the newest jobs, so many are read while faults run.
+# Number of the newest jobs that are read while faults are injected.
 RECENT_JOBS = 8
 
 
 @attrs.define
 class Observations:
-    """What callers and the trainer saw.
+    """What callers and trainers received.
 
     Attributes
     ----------
-    wrong : list of str
-        Answers that break a promise.
+    violations : list of str
+        Answers that violate a guarantee.
     refused : set of str
-        Requests that were said not to have run.
-    once : set of str
-        Requests that may not be repeated.
+        Ids of requests that were refused, thus must not have run.
+    unrepeatable : set of str
+        Ids of requests that must not run more than once.
     jobs : dict
-        Items by accepted job.
+        Item ids of each accepted job.
     positions : dict
-        `PositionChecker` by job, from what was read.
-    served : int
+        `PositionChecker` of each job that was read.
+    served_count : int
     """
 
     violations: list[str] = attrs.field(factory=list)
@@ -50,7 +50,7 @@
 
 
 class Workload:
-    """Callers on kept connections, and a trainer.
+    """Callers, trainers and readers that use the gateways.
 
     Parameters
     ----------
@@ -69,23 +69,27 @@
         self.stopping = False
 
     def new_id(self) -> str:
-        """Return an id that no other request has."""
+        """Return a unique request id."""
         return f"q-{self.deployment.seed}-{next(self.request_numbers)}"
 
     async def send_request(
         self, method, target, request_id, body=b"", gateway=None, key=""
     ):
-        """Send a request to a gateway; None where no whole answer came."""
+        """Send a request to a gateway; return status and body.
+
+        Returns None if there was no complete answer. Without a gateway, a random one is
+        used; without a key, the permanent one.
+        """
         gateway = gateway or self.rng.choice(self.deployment.of_kind("gateway"))
         fields = [("request-id", request_id), ("deadline-ms", "2500")]
         fields.append(("wait-ms", "500"))
         fields.append(("key", key or self.keys.permanent.text))
-        # Nobody is to be believed who says for whom he calls.
+        # A workspace named by the caller must be ignored.
         fields.append(("tenant", "another"))
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 exchange = await self.fetcher.open(
-                    (gateway.ip, FRONT), method, target, fields, body, host=HOST
+                    (gateway.ip, FRONT_PORT), method, target, fields, body, host=HOST
                 )
                 content = await exchange.read()
         except (FetchError, TimeoutError):
@@ -94,7 +98,7 @@
         return exchange.status, content
 
     async def call(self) -> None:
-        """Send requests one after another."""
+        """Send plain requests one after another."""
         while not self.stopping:
             request_id = self.new_id()
             once = self.rng.random() < 0.3
@@ -110,21 +114,23 @@
             await asyncio.sleep(self.rng.uniform(0, 0.1))
 
     def check_answer(self, request_id: str, status: int, content: bytes) -> None:
-        """Take the answer to a plain request."""
-        wrong = self.keys.check_answer(request_id, status)
-        if wrong:
-            self.seen.violations.append(wrong)
+        """Record the answer to a plain request, with its violations."""
+        violation = self.keys.check_answer(request_id, status)
+        if violation:
+            self.seen.violations.append(violation)
         if status in (429, 503):
             self.seen.refused.add(request_id)
         elif status == 200 and content != plain_answer(request_id):
-            self.seen.violations.append(f"{request_id}: the answer to another request")
+            self.seen.violations.append(
+                f"{request_id}: received the answer to another request"
+            )
         elif status == 404:
             self.seen.violations.append(f"{request_id}: 404 for a known route")
         elif status == 200:
             self.seen.served_count += 1
 
     async def train(self) -> None:
-        """Submit jobs, each again until it is accepted."""
+        """Submit jobs, each with retries until it is accepted."""
         while not self.stopping:
             job = self.new_id()
             body = job_body(job, GROUPS, GROUP_SIZE)
@@ -138,7 +144,7 @@
             await asyncio.sleep(self.rng.uniform(0.2, 1.0))
 
     async def read_on(self) -> None:
-        """Read newer jobs from positions read before, at changing gateways."""
+        """Read recent jobs from random known positions, at random gateways."""
         while not self.stopping:
             await asyncio.sleep(self.read_rng.uniform(0, 0.1))
             if not self.seen.jobs:
@@ -153,16 +159,16 @@
                 self.check_page(job, after, answer[1], gateway.name)
 
     async def request_results(self, job: str, after: int, gateway):
-        """Ask a gateway for results from a position on."""
+        """Request the results of a job from a position on at a gateway."""
         target = results_target(job, after)
         return await self.send_request("GET", target, self.new_id(), gateway=gateway)
 
     def position_checker(self, job: str) -> PositionChecker:
-        """Return what was read of a job."""
+        """Return the checker with the results read of a job so far."""
         return self.seen.positions.setdefault(job, PositionChecker(job))
 
     def check_page(self, job: str, after: int, content: bytes, reader: str) -> list:
-        """Take results of a job from a position on, and return them."""
+        """Check results of a job from a position on, and return them."""
         results = json.loads(content)["results"]
         self.seen.violations += self.position_checker(job).check_page(
             after, results, reader
@@ -170,15 +176,17 @@
         return results
 
     async def read(self, job: str, gateway) -> list[dict]:
-        """Read all results of a job at a gateway, however long that takes."""
-        found: list[dict] = []
-        while len(found) < len(self.seen.jobs[job]):
-            answer = await self.request_results(job, len(found), gateway)
+        """Read all results of a job at a gateway; retries without a time limit."""
+        results: list[dict] = []
+        while len(results) < len(self.seen.jobs[job]):
+            answer = await self.request_results(job, len(results), gateway)
             if answer is None or answer[0] != 200:
                 if answer is not None and answer[0] in (404, 410):
-                    self.seen.violations.append(f"{job}: an accepted job is not known")
-                    return found
+                    self.seen.violations.append(
+                        f"{job}: an accepted job is unknown at {gateway.name}"
+                    )
+                    return results
                 await asyncio.sleep(0.1)
                 continue
-            found += self.check_page(job, len(found), answer[1], gateway.name)
-        return found
+            results += self.check_page(job, len(results), answer[1], gateway.name)
+        return results
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what surrounds the system; for trials, tests and benchmarks."""
+"""Fake backend servers, platform and trainer, for tests, trials and benchmarks."""
--- a/standins/cache.py
+++ b/standins/cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache of the stand-in engine: blocks of prompts in limited memory."""
+"""LRU cache of prompt prefixes, used by the fake model engine."""
 
 import collections
 import hashlib
@@ -9,12 +9,15 @@
 
 
 class PrefixCache:
-    """The most recently used prompt blocks.
+    """LRU cache of prompt blocks.
+
+    A block is identified by a digest of the prompt up to its end, so two prompts share
+    the blocks of their common prefix only.
 
     Parameters
     ----------
-    most : int
-        Blocks that it holds.
+    max_blocks : int
+        Maximum number of cached blocks.
     """
 
     def __init__(self, max_blocks: int):
@@ -23,9 +26,9 @@
         self.hits = self.misses = 0
 
     def cache_prompt(self, prompt: str) -> int:
-        """Return the prompt tokens to compute, and cache them."""
+        """Cache the blocks of a prompt; return the number of uncached tokens."""
         words = prompt.split()
-        todo, missed = 0, False
+        uncached, missed = 0, False
         for end in range(BLOCK_TOKENS, len(words) + BLOCK_TOKENS, BLOCK_TOKENS):
             block = hashlib.md5(" ".join(words[:end]).encode()).hexdigest()
             if block in self.blocks and not missed:
@@ -34,12 +37,12 @@
                 continue
             missed = True
             self.misses += 1
-            todo += min(BLOCK_TOKENS, len(words) - end + BLOCK_TOKENS)
+            uncached += min(BLOCK_TOKENS, len(words) - end + BLOCK_TOKENS)
             self.blocks[block] = None
             if len(self.blocks) > self.max_blocks:
                 self.blocks.popitem(last=False)
-        return todo
+        return uncached
 
     def clear(self) -> None:
-        """Forget all blocks, as new weights ask for."""
+        """Remove all blocks: they are invalid once new weights are loaded."""
         self.blocks.clear()
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -1,8 +1,8 @@
-"""A whole deployment on loopback: stand-ins, sidecars and entries as processes.
+"""Run a complete deployment on loopback: stand-ins, sidecars and entries.
 
-``python -m standins.deployment examples/teranga-signes`` leaves it running in
-the foreground until Ctrl-C. This is scaffolding: the system's own processes
-start no process.
+``python -m standins.deployment examples/teranga-signes`` runs one in the
+foreground until Ctrl-C. Each part is a process of its own. Only this test tool starts
+processes; the processes of the system start none.
 """
 
 import asyncio
@@ -30,7 +30,9 @@
 DEFAULT_FOLDER = pathlib.Path("examples/teranga-signes")
 FIRST_CALLER_PORT = 8100
 FIRST_OPERATOR_PORT = 8200
+# Below the range that the kernel assigns to outgoing connections.
 PORT_RANGE = (10240, 32000)
+# UDP sockets that reserve the ports of this process, by port.
 PORT_CLAIMS: dict[int, socket.socket] = {}
 READY_TIMEOUT_S = 60.0
 STOP_TIMEOUT_S = 10.0
@@ -38,11 +40,12 @@
 
 
 def free_port() -> int:
-    """Return a TCP port that is free now, and claimed for this process.
+    """Return a free TCP port that is reserved for this process.
 
-    It lies below those that the kernel gives to outgoing connections, one of which
-    could take it before its process listens. A UDP socket on the same number, which
-    nobody else here uses, keeps other deployments from choosing it.
+    The port is below the range that the kernel assigns to outgoing connections, since
+    one of those could occupy it before its process listens. A UDP socket bound to the
+    same number keeps other deployments from choosing the port; nothing else here uses
+    UDP.
     """
     while True:
         port = random.SystemRandom().randrange(*PORT_RANGE)
@@ -60,13 +63,15 @@
 
 @attrs.define
 class ManagedProcess:
-    """One process of the deployment.
+    """One process of a deployment.
 
     Attributes
     ----------
     name : str
     command : list of str
+        Module and arguments for ``python -m``.
     ports : dict of str to int
+        Ports on which the process listens, by kind.
     process : subprocess.Popen or None
     """
 
@@ -77,20 +82,21 @@
 
 
 class Deployment:
-    """Processes of one declared deployment; a context manager that ends them all.
+    """Processes of one declared deployment; a context manager that stops them at exit.
 
     Parameters
     ----------
     catalog : Catalog
-        Its pools say which backend servers there are.
+        Its pools determine the backend servers to start.
     entries : int
     fixed_ports : bool
-        Whether entries listen on well-known ports, for people.
+        Whether entries listen on fixed ports, for interactive use.
     speed : dict
-        Options of the stand-ins: ``step``, ``swap`` and ``duration`` in seconds,
-        ``places``, ``weight_rate`` and ``host_lag``.
+        Options of the stand-ins: ``step``, ``swap``, ``duration`` and ``host_lag`` in
+        seconds, ``weight_rate`` in bytes per second, ``places``, ``spread``, ``batch``,
+        ``cache_blocks``, ``length_median`` and ``length_sigma``.
     daemon : list of str
-        Module, with arguments, that runs in place of the daemon.
+        Module, with arguments, to run instead of the daemon.
     """
 
     def __init__(
@@ -124,10 +130,10 @@
     async def __aexit__(self, *exc_info):
         self.close()
 
-    # Starting and ending
+    # Start and stop
 
     async def start(self) -> None:
-        """Start everything and wait until it serves."""
+        """Start all processes and wait until they answer."""
         options = self.options("weight_rate", "host_lag")
         self.launch(
             "platform", ["standins.platform", str(self.platform_port), *options]
@@ -142,7 +148,7 @@
             await self.until_answers(running.name, running.ports["caller"], "/health")
 
     def options(self, *names: str) -> list[str]:
-        """Return command-line options for the speeds that are set."""
+        """Return command-line arguments for those of the named options that are set."""
         found = []
         for name in names:
             if name in self.speed:
@@ -150,15 +156,15 @@
         return found
 
     def entries(self) -> list[ManagedProcess]:
-        """Return the entries."""
+        """Return all entry processes."""
         return [r for r in self.running.values() if "caller" in r.ports]
 
     def sidecars(self) -> list[ManagedProcess]:
-        """Return the sidecars."""
+        """Return all sidecar processes."""
         return [r for r in self.running.values() if r.name.startswith("sidecar-")]
 
     def add_entry(self, number: int) -> ManagedProcess:
-        """Start one entry."""
+        """Start an entry."""
         ports = {kind: free_port() for kind in ("peer", "caller", "operator")}
         if self.fixed_ports:
             ports["caller"] = FIRST_CALLER_PORT + number
@@ -173,7 +179,7 @@
         return self.add_process(settings, ports)
 
     def add_backend(self, pool, number: int) -> None:
-        """Start one stand-in for a backend server, and the sidecar beside it."""
+        """Start a fake backend server and its sidecar."""
         name, port = f"{pool.name}-{number}", free_port()
         if pool.kind == "model":
             command = ["standins.engine", str(port), pool.name]
@@ -201,7 +207,7 @@
         self.add_process(settings, ports)
 
     def add_process(self, settings: dict, ports: dict[str, int]) -> ManagedProcess:
-        """Write the settings of one process of the system, and start it."""
+        """Write the settings file of an entry or sidecar and start it."""
         seeds = [f"{HOST}:{r.ports['peer']}" for r in self.entries()]
         settings |= {
             "platform": f"http://{HOST}:{self.platform_port}",
@@ -217,7 +223,7 @@
         return running
 
     def launch(self, name: str, command: list[str]) -> ManagedProcess:
-        """Start one process; its output goes to a file."""
+        """Start a process; its output is appended to a log file."""
         running = self.running.setdefault(name, ManagedProcess(name, command))
         with open(self.folder / f"{name}.log", "ab") as output:
             running.process = subprocess.Popen(
@@ -229,7 +235,10 @@
         return running
 
     def close(self) -> None:
-        """End all processes and remove their files."""
+        """Terminate all processes and remove their files.
+
+        Processes that do not stop in time are killed.
+        """
         alive = [r.process for r in self.running.values() if r.process]
         for process in alive:
             if process.poll() is None:
@@ -248,22 +257,22 @@
     # Faults
 
     def signal(self, name: str, number: int) -> None:
-        """Send a signal to one process."""
+        """Send a signal to a process, if it is running."""
         process = self.running[name].process
         if process.poll() is None:
             process.send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill one process without notice."""
+        """Kill a process with SIGKILL and wait until it has ended."""
         self.signal(name, signal.SIGKILL)
         self.running[name].process.wait()
 
     def restart(self, name: str) -> None:
-        """Start one process again, empty."""
+        """Start a process again, without the state of its last run."""
         self.launch(name, self.running[name].command)
 
     async def set_faults(self, name: str, **faults) -> None:
-        """Switch faults of a stand-in; without any, they end."""
+        """Set the faults of a stand-in; call without faults to end them all."""
         if name == "platform":
             port, target = self.platform_port, "/faults"
         else:
@@ -271,10 +280,10 @@
         body = json.dumps(faults).encode()
         await self.fetcher.fetch((HOST, port), "PUT", target, [], body)
 
-    # Asking
+    # Requests
 
     async def until_answers(self, name: str, port: int, target: str) -> None:
-        """Wait until a process answers 200."""
+        """Wait until a process answers a GET request with 200."""
         deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             if self.running[name].process.poll() is not None:
@@ -285,18 +294,21 @@
                     return
             await asyncio.sleep(POLL_PERIOD_S)
         log = (self.folder / f"{name}.log").read_text()
-        raise RuntimeError(f"{name} does not serve: {log[-2000:]}")
+        raise RuntimeError(
+            f"{name} did not answer GET {target} at port {port} with 200 within "
+            f"{READY_TIMEOUT_S} s, or has ended; end of its log: {log[-2000:]}"
+        )
 
     async def operator(
         self, method: str, target: str, value: object = None, entry: int = 0
     ) -> FetchedResponse:
-        """Ask an entry's operator face."""
+        """Send a request to the operator API of an entry."""
         body = json.dumps(value).encode() if value is not None else b""
         port = self.entries()[entry].ports["operator"]
         return await self.fetcher.fetch((HOST, port), method, target, [], body)
 
     async def status(self, entry: int = 0) -> list[dict]:
-        """Return what one entry shows of all processes."""
+        """Return the status of all processes, as one entry reports it."""
         answer = await self.operator("GET", "/v1/status", entry=entry)
         return json.loads(answer.body)
 
@@ -309,18 +321,26 @@
                 return rows
             self.check_alive()
             if time.monotonic() > deadline:
-                raise RuntimeError(f"not in time; the status is {rows}")
+                raise RuntimeError(
+                    f"status condition not met within {timeout} s; last status: {rows}"
+                )
             await asyncio.sleep(POLL_PERIOD_S)
 
     def check_alive(self) -> None:
-        """Raise an error with the log of a process that has ended by itself."""
+        """Raise an error with the log of a process that ended unexpectedly.
+
+        Exit code 0 and SIGKILL are expected.
+        """
         for name, running in self.running.items():
             if running.process.poll() not in (None, 0, -signal.SIGKILL):
                 log = (self.folder / f"{name}.log").read_text()
-                raise RuntimeError(f"{name} has ended: {log[-2000:]}")
+                raise RuntimeError(
+                    f"{name} has ended with exit code {running.process.returncode}; "
+                    f"end of its log: {log[-2000:]}"
+                )
 
     async def apply(self, catalog: Catalog, message: str, base: int) -> FetchedResponse:
-        """Apply declarations."""
+        """Apply declarations on top of the revision ``base``."""
         value = {
             "base": base,
             "declarations": catalog.source,
@@ -330,23 +350,23 @@
         return await self.operator("POST", "/v1/apply", value)
 
     async def until_in_force(self, revision: int) -> list[dict]:
-        """Wait until a revision is in force in every process, all healthy."""
+        """Wait until a revision is active in every process and all are healthy."""
         count = self.entry_count + sum(p.size for p in self.catalog.pools.values())
 
         def holds(rows: list[dict]) -> bool:
-            here = [row for row in rows if row["revision"] == revision]
-            sick = [r for r in here if r["figures"].get("healthy", 1) < 1]
-            return len(here) == len(rows) == count and not sick
+            updated = [row for row in rows if row["revision"] == revision]
+            unhealthy = [r for r in updated if r["figures"].get("healthy", 1) < 1]
+            return len(updated) == len(rows) == count and not unhealthy
 
         return await self.until_status(holds)
 
     def caller_urls(self, path: str) -> list[str]:
-        """Return the URLs of a path at all entries."""
+        """Return the URL of a path at each entry."""
         return [f"http://{HOST}:{r.ports['caller']}{path}" for r in self.entries()]
 
 
 async def run_in_foreground(folder: pathlib.Path, entries: int) -> None:
-    """Run a deployment until cancelled."""
+    """Run a deployment until SIGINT or SIGTERM."""
     catalog = declarations.load(folder)
     async with Deployment(catalog, entries, fixed_ports=True) as deployment:
         await deployment.apply(catalog, "first", 0)
@@ -367,7 +387,7 @@
     folder: Annotated[pathlib.Path, typer.Argument()] = DEFAULT_FOLDER,
     entries: Annotated[int, typer.Option(help="Number of entries.")] = 2,
 ) -> None:
-    """Run a whole deployment on loopback in the foreground."""
+    """Run a complete deployment on loopback in the foreground."""
     asyncio.run(run_in_foreground(folder, entries))
 
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,7 +1,7 @@
-"""Stand-in for a model engine: continuous batching, prefix cache, weights.
+"""Fake model engine with continuous batching, a prefix cache and weight loading.
 
 ``python -m standins.engine --port 9100 --pool NAME --platform URL``. Faults are
-switched on at ``PUT /standin`` with a JSON object of the fields of `Faults`.
+set at ``PUT /standin`` with a JSON object of the fields of `Faults`.
 """
 
 import asyncio
@@ -27,28 +27,30 @@
 from standins.cache import PrefixCache
 
 REPORT_PERIOD_S = 0.5
+# The id of a generated token divided by this is the weight version that made it.
 TOKENS_PER_VERSION = 1000
+# Prompt tokens have ids from here on; ids below are of generated tokens.
 FIRST_PROMPT_TOKEN_ID = 10**9
 
 
 @attrs.define
 class Faults:
-    """Switches.
+    """Faults to inject.
 
     Attributes
     ----------
     fail_swaps : int
-        Load orders still to be answered 500 without a change.
+        Number of load orders still to answer with 500 without loading weights.
     half_swaps : int
-        Load orders still to be answered 200 without a change.
+        Number of load orders still to answer with 200 without loading weights.
     late_swaps : float
-        Seconds by which the answer to a load order is late.
+        Delay of the answer to a load order, in seconds.
     slow : float
-        Factor on the time of a step.
+        Factor on the duration of a step.
     break_streams : int
-        Streams still to be broken in their middle.
+        Number of streams still to abort midway.
     bare : bool
-        Whether tokens come without their weight version.
+        Whether to omit the weight version from events.
     """
 
     fail_swaps: int = 0
@@ -61,7 +63,24 @@
 
 @attrs.define(eq=False)
 class Sequence:
-    """One completion under way."""
+    """A completion that is queued or being generated.
+
+    Attributes
+    ----------
+    prompt : str
+    max_tokens, priority, seed : int
+    tokens : asyncio.Queue
+        Generated token ids with their weight versions, not sent yet.
+    generated_count : int
+    prefill : int
+        Uncached prompt tokens to process in the next step.
+    closed : bool
+        Whether the request has ended, completed or not.
+    break_midway : bool
+        Whether to abort the stream after half of its tokens.
+    finish_reason : str
+    prompt_ids_sent : bool
+    """
 
     prompt: str
     max_tokens: int
@@ -78,16 +97,16 @@
 
 @attrs.define
 class StepTiming:
-    """How long a step takes, in seconds.
+    """Duration of a step of the batch, in seconds.
 
     Attributes
     ----------
-    step : float
-        Of any step.
-    sequence : float
-        More for each sequence in the batch.
-    prefill : float
-        More for each prompt token that is not cached.
+    base_s : float
+        Duration of a step without sequences.
+    per_sequence_s : float
+        Additional time for each sequence in the batch.
+    per_prompt_token_s : float
+        Additional time for each prompt token that is not cached.
     """
 
     base_s: float = 0.004
@@ -96,21 +115,24 @@
 
 
 class FakeEngine:
-    """A model engine.
+    """A fake model engine.
 
     Parameters
     ----------
-    pool, dialect : str
+    pool : str
+    dialect : str
+        API to imitate, "vllm" or "sglang".
     platform : (str, int) or None
         Address of the weight store.
     checks_fencing : bool
+        Whether load orders with a lower fencing number than before are rejected.
     batch : int
-        Sequences that run at once.
+        Maximum number of sequences that run concurrently.
     cache_blocks : int
-        Prompt blocks that the prefix cache holds.
+        Maximum number of blocks in the prefix cache.
     swap : float
-        Seconds that a swap takes beside the download.
-    speed : Speed
+        Duration of a weight swap without the download, in seconds.
+    step_timing : StepTiming or None
     """
 
     def __init__(
@@ -155,7 +177,7 @@
     # Batching
 
     async def step_forever(self) -> None:
-        """Make one token for each running sequence, step by step."""
+        """Run steps as long as there are sequences, and wait for new ones otherwise."""
         while True:
             self.fill_batch()
             if not self.running:
@@ -163,16 +185,16 @@
                 await self.work_available.wait()
                 continue
             prefill = sum(sequence.prefill for sequence in self.running)
-            took = self.step_timing.base_s + self.step_timing.per_sequence_s * len(
-                self.running
+            duration = self.step_timing.base_s + (
+                self.step_timing.per_sequence_s * len(self.running)
             )
-            took += self.step_timing.per_prompt_token_s * prefill
-            await asyncio.sleep(took * self.faults.slow)
+            duration += self.step_timing.per_prompt_token_s * prefill
+            await asyncio.sleep(duration * self.faults.slow)
             async with self.swap_lock:
                 self.emit_tokens()
 
     def fill_batch(self) -> None:
-        """Admit waiting sequences, the lowest priority number first."""
+        """Remove ended sequences, admit waiting ones, lowest priority number first."""
         self.running = [
             s for s in self.running if not s.closed and s.generated_count < s.max_tokens
         ]
@@ -183,21 +205,22 @@
                 self.running.append(sequence)
 
     def emit_tokens(self) -> None:
-        """Make one token for each running sequence."""
+        """Generate one token for each running sequence."""
         for sequence in self.running:
             sequence.prefill = 0
-            chance = random.Random(
+            rng = random.Random(
                 (sequence.seed, sequence.generated_count, self.version).__hash__()
             )
             sequence.generated_count += 1
             self.generated_count += 1
-            # A token tells which version made it, for whoever checks the labels.
+            # The token id contains the weight version, so that tests can check whether
+            # the version that labels a token is right.
             token = self.version * TOKENS_PER_VERSION
-            token += chance.randrange(TOKENS_PER_VERSION)
+            token += rng.randrange(TOKENS_PER_VERSION)
             sequence.tokens.put_nowait((token, self.version))
 
     async def report_forever(self) -> None:
-        """Keep the load that is reported, which lags."""
+        """Update the reported load periodically; it lags behind the actual load."""
         while True:
             self.reported_load = (len(self.running), len(self.waiting))
             await asyncio.sleep(REPORT_PERIOD_S)
@@ -219,7 +242,7 @@
         return json_response(404, {"error": "not found"})
 
     def serve_faults(self, request: Request) -> Response:
-        """Switch faults, or show them with some counts."""
+        """Set faults on PUT; return them with counts and the weight version."""
         if request.method == "PUT":
             self.faults = Faults(**json.loads(request.body))
         value = attrs.asdict(self.faults)
@@ -232,7 +255,7 @@
         return json_response(200, value | counts | {"version": self.version})
 
     def vllm_metrics(self) -> bytes:
-        """Return the load as vLLM's page does."""
+        """Return load and weight version in the format of vLLM's metrics."""
         running, waiting = self.reported_load
         return (
             f"vllm:num_requests_running {running}\n"
@@ -241,13 +264,13 @@
         ).encode()
 
     def sglang_server_info(self) -> dict:
-        """Return the load as SGLang's page does."""
+        """Return load and weight version in the format of SGLang's server info."""
         running, waiting = self.reported_load
         state = {"num_running_reqs": running, "num_waiting_reqs": waiting}
         return {"internal_states": [state], "weight_version": str(self.version)}
 
     async def serve_completion(self, request: Request) -> Response:
-        """Answer a completion, streamed or not."""
+        """Queue a completion and answer it, streamed or as a whole."""
         try:
             sequence = self.make_sequence(json.loads(request.body))
         except (ValueError, KeyError, TypeError, AttributeError):
@@ -265,10 +288,11 @@
         return await self.collect_completion(sequence, chat)
 
     def make_sequence(self, value: dict) -> Sequence:
-        """Return the sequence that a request asks for.
+        """Return the sequence for the body of a completion request.
 
-        A prompt may be a list of token ids, of the prompt and of what was generated
-        before: then the rest of the same completion is made.
+        A prompt may be a list of token ids, those of the prompt followed by those
+        generated earlier: the completion is then continued, and its length counts the
+        earlier tokens.
         """
         prompt, generated = value.get("prompt"), 0
         if prompt is None:
@@ -287,7 +311,7 @@
         return sequence
 
     async def stream_completion(self, sequence: Sequence, chat: bool):
-        """Yield a completion as events."""
+        """Yield the events of a streamed completion."""
         try:
             while (
                 sequence.generated_count < sequence.max_tokens
@@ -302,7 +326,7 @@
                     sequence.break_midway
                     and sequence.generated_count > sequence.max_tokens // 2
                 ):
-                    raise ResponseAborted("told to break")
+                    raise ResponseAborted("stream aborted by fault break_streams")
                 event = self.make_event(
                     token, version, last, chat, sequence.finish_reason
                 )
@@ -318,7 +342,7 @@
             sequence.closed = True
 
     async def collect_completion(self, sequence: Sequence, chat: bool) -> Response:
-        """Return a completion as a whole."""
+        """Return a completion that is not streamed."""
         words = []
         try:
             while len(words) < sequence.max_tokens:
@@ -337,7 +361,7 @@
         return json_response(200, event)
 
     def make_event(self, token, version, last, chat, ends="stop") -> dict:
-        """Return one event in the vendor's manner."""
+        """Return one event in the format of the dialect."""
         choice = {"index": 0, "token_ids": [token]}
         choice["finish_reason"] = ends if last else None
         if chat:
@@ -356,7 +380,7 @@
     # Weights
 
     async def load_weights(self, request: Request) -> Response:
-        """Load a version on order; running sequences go on with it."""
+        """Load the ordered weight version; running sequences continue with it."""
         fence = int(request.header("fencing-number", "0"))
         if self.checks_fencing and fence < self.fence:
             return json_response(409, {"error": f"fencing number below {self.fence}"})
@@ -364,7 +388,7 @@
         version = int(json.loads(request.body)["weight_version"])
         if self.faults.fail_swaps > 0:
             self.faults.fail_swaps -= 1
-            return json_response(500, {"error": "told to fail"})
+            return json_response(500, {"error": "weights not loaded: fault fail_swaps"})
         if not await self.download(version):
             return json_response(500, {"error": f"no weights of version {version}"})
         if self.faults.half_swaps > 0:
@@ -379,7 +403,7 @@
         return json_response(200, {"success": True})
 
     async def download(self, version: int) -> bool:
-        """Fetch the weights from the store, at its limited rate."""
+        """Fetch weights from the weight store; return whether that succeeded."""
         if self.platform is None:
             return True
         target = f"/weights/{self.pool}/{version}"
@@ -393,7 +417,7 @@
 
 
 def prompt_digest(prompt: str) -> str:
-    """Return a digest of a prompt, by which its answer is recognized."""
+    """Return a digest of a prompt, which is repeated in its answer."""
     return hashlib.md5(prompt.encode()).hexdigest()[:12]
 
 
@@ -411,7 +435,7 @@
     length_median: Annotated[float, typer.Option(help="Tokens of a sample.")] = 0.0,
     length_sigma: Annotated[float, typer.Option(help="Of the log-normal.")] = 0.0,
 ) -> None:
-    """Run a stand-in for a model engine."""
+    """Run a fake model engine."""
     address = parse_address(platform) if platform else None
     engine = FakeEngine(
         pool,
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,6 +1,6 @@
-"""Stand-in for the platform: tables, objects, weights and a lagging host list.
+"""Fake platform: tables, object store, weight store and a lagging host list.
 
-``python -m standins.platform --port 9000``. Faults are switched on at
+``python -m standins.platform --port 9000``. Faults are set at
 ``PUT /faults`` with a JSON object of the fields of `Faults`.
 """
 
@@ -22,20 +22,20 @@
 
 @attrs.define
 class Faults:
-    """Switches.
+    """Faults to inject.
 
     Attributes
     ----------
     down : bool
-        Answer everything with 503.
+        Whether to answer all requests with 503.
     slow : float
-        Seconds to wait before each answer.
+        Delay of each answer, in seconds.
     lose : float
-        Share of the writes whose answer is lost after they took effect.
+        Probability that a write takes effect but is not answered.
     objects_down : bool
-        Answer the object store's requests with 503.
+        Whether to answer requests to the object store with 503.
     seed : int
-        Of the random choices.
+        Seed of the random choice of lost answers.
     """
 
     down: bool = False
@@ -46,14 +46,14 @@
 
 
 class FakePlatform:
-    """The platform's services behind one HTTP server.
+    """The services of the platform behind one HTTP server.
 
     Parameters
     ----------
     weight_rate : float
-        Bytes a second that the weight store hands out, over all readers.
+        Bytes per second that the weight store sends, to all readers together.
     host_lag : float
-        Seconds by which the host list lags.
+        Delay after which changes of hosts appear in the host list, in seconds.
     """
 
     def __init__(self, weight_rate: float = 50e6, host_lag: float = 2.0):
@@ -89,7 +89,7 @@
         return response
 
     def set_faults(self, request: Request) -> Response:
-        """Switch faults; an empty object ends them all."""
+        """Set faults on PUT and return them; an empty object ends them all."""
         if request.method == "PUT":
             self.faults = Faults(**json.loads(request.body))
             self.rng = random.Random(self.faults.seed)
@@ -110,7 +110,7 @@
         return json_response(200, [attrs.asdict(row) for row in rows])
 
     async def serve_objects(self, request: Request, rest: list[str]) -> Response:
-        """Put an object once, get it, or delete it."""
+        """Create, read or delete an object; objects are never overwritten."""
         objects = self.platform.objects
         if request.method == "PUT":
             return outcome_response(await objects.put(rest[0], request.body))
@@ -133,21 +133,21 @@
         return Response(200, [], data)
 
     async def wait_for_rate(self, size: int) -> None:
-        """Wait until the rate limit lets so many bytes through."""
+        """Wait until the rate limit allows so many bytes to be sent."""
         now = time.monotonic()
         start = max(now, self.weights_free_at)
         self.weights_free_at = start + size / self.weight_rate
         await asyncio.sleep(self.weights_free_at - now)
 
     async def serve_hosts(self, request: Request, rest: list[str]) -> Response:
-        """Take a host, or list the hosts as they were a while ago."""
+        """Register or remove a host, or list the hosts as of `host_lag` seconds ago."""
         if request.method == "PUT":
             host = Host(**json.loads(request.body))
             self.hosts.append((time.monotonic(), host))
             return Response(204)
         if request.method == "DELETE":
-            gone = Host(rest[0], "", "", True)
-            self.hosts.append((time.monotonic(), gone))
+            removed = Host(rest[0], "", "", True)
+            self.hosts.append((time.monotonic(), removed))
             return Response(204)
         horizon = time.monotonic() - self.host_lag
         seen = {host.name: host for at, host in self.hosts if at <= horizon}
@@ -155,7 +155,7 @@
 
 
 def outcome_response(outcome) -> Response:
-    """Return the answer that says an outcome."""
+    """Return the response for the outcome of a write."""
     if isinstance(outcome, Committed):
         return Response(204)
     if isinstance(outcome, Conflict):
@@ -172,10 +172,10 @@
 def main(
     port: int,
     host: str = "127.0.0.1",
-    weight_rate: Annotated[float, typer.Option(help="Bytes a second.")] = 50e6,
+    weight_rate: Annotated[float, typer.Option(help="Bytes per second.")] = 50e6,
     host_lag: Annotated[float, typer.Option(help="Seconds.")] = 2.0,
 ) -> None:
-    """Run a stand-in for the platform."""
+    """Run a fake platform."""
     asyncio.run(serve(host, port, FakePlatform(weight_rate, host_lag)))
 
 
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,6 +1,6 @@
-"""Stand-in for a plain service: it runs requests and remembers how often.
+"""Fake plain service that counts how often it ran each request.
 
-``python -m standins.service --port 9200``. Faults are switched on at
+``python -m standins.service --port 9200``. Faults are set at
 ``PUT /standin`` with a JSON object of the fields of `Faults`.
 """
 
@@ -24,16 +24,16 @@
 
 @attrs.define
 class Faults:
-    """Switches.
+    """Faults to inject.
 
     Attributes
     ----------
     slow : float
-        Factor on the time of a request.
+        Factor on the duration of a request.
     cut : int
-        Requests still to be run whose answer is cut in its middle.
+        Number of requests still to run whose answer is aborted midway.
     sick : bool
-        Whether the health page says so.
+        Whether the health check answers with 503.
     """
 
     slow: float = 1.0
@@ -42,19 +42,20 @@
 
 
 class FakeService:
-    """A plain service.
+    """A fake plain service.
 
     Parameters
     ----------
     name : str
-    places : int
-        Requests that run at once; more wait.
+    slots : int
+        Requests that run concurrently; further ones wait.
     duration : float
-        Median seconds of a request; spread log-normally.
+        Median duration of a request, in seconds; the distribution is log-normal.
     spread : float
-        Sigma of the log-normal spread.
+        Sigma of the log-normal distribution.
     journal : str
-        File that outlives a kill; a line for each request that began to run.
+        File with a line for each request that began to run; it is kept when the
+        process is killed. Empty for none.
     """
 
     def __init__(
@@ -88,7 +89,7 @@
         return await self.run_request(request)
 
     async def run_request(self, request: Request) -> Response:
-        """Run one request; counted as run once it has a place."""
+        """Run a request; it is counted as run once it has a slot."""
         self.running += 1
         try:
             async with self.slots:
@@ -110,16 +111,16 @@
         return json_response(200, value)
 
     def record_run(self, request_id: str) -> None:
-        """Note that a request begins to run."""
+        """Count a request that begins to run, and write it to the journal."""
         self.runs[request_id] += 1
         if self.journal:
             line = {"at": time.time(), "by": self.name, "id": request_id}
             self.journal.write(json.dumps(line) + "\n")
 
     async def stream_cut_body(self):
-        """Yield a part of an answer, then break."""
+        """Yield the begin of an answer, then abort it."""
         yield b'{"service": '
-        raise ResponseAborted("told to cut")
+        raise ResponseAborted("answer aborted by fault cut")
 
 
 async def serve(service: FakeService, host: str, port: int) -> None:
@@ -137,7 +138,7 @@
     spread: float = 0.3,
     journal: str = "",
 ) -> None:
-    """Run a stand-in for a plain service."""
+    """Run a fake plain service."""
     service = FakeService(name, places, duration, spread, journal)
     asyncio.run(serve(service, host, port))
 
--- a/standins/story.py
+++ b/standins/story.py
@@ -1,6 +1,7 @@
-"""The main job from end to end, checked and told: ``python -m standins.story``.
+"""End-to-end check of a deployment on loopback: ``python -m standins.story``.
 
-Exits 0 only where every statement that it prints was checked to be true.
+Calls, training steps, a parameter change and workspace keys are tried in turn. Each
+statement is printed once it has been checked; the exit status is 0 only if all hold.
 """
 
 import asyncio
@@ -27,11 +28,11 @@
 
 
 class ClaimFailed(Exception):
-    """Something that should hold did not."""
+    """A checked statement does not hold."""
 
 
 def check_claim(holds: bool, statement: str) -> None:
-    """Print a statement where it holds; fail the story where it does not."""
+    """Print a statement if it holds, raise `ClaimFailed` if not."""
     if not holds:
         raise ClaimFailed(statement)
     print(f"  ok  {statement}", flush=True)
@@ -39,15 +40,15 @@
 
 @attrs.define
 class StoryTargets:
-    """What the story calls, by the declarations.
+    """Declared names and paths to which requests are sent.
 
     Attributes
     ----------
     workspace, trainer : str
     service : str
-        Name of a plain service of the workspace.
+        A plain service of the workspace.
     route : str
-        Path of a request there that may not be repeated.
+        Path of a request to the service that must not be repeated.
     """
 
     workspace: str
@@ -57,7 +58,7 @@
 
 
 def choose_targets(catalog: Catalog) -> StoryTargets:
-    """Return the first trainer's workspace, and an unrepeatable route of it."""
+    """Return the first declared trainer, and a service and route of its workspace."""
     trainer = next(iter(catalog.trainers.values()))
     parameters = catalog.workspaces[trainer.workspace]
     pattern = parameters.unrepeatable[0].partition(" ")[2]
@@ -68,22 +69,22 @@
 
 
 async def count_runs(deployment: Deployment, pool: str, request_id: str) -> int:
-    """Return how often the backend servers of a pool ran a request."""
-    total = 0
+    """Return how many times the backend servers of a pool ran a request."""
+    run_count = 0
     for name, running in deployment.running.items():
         if name.startswith(pool) and "backend" in running.ports:
             address = (HOST, running.ports["backend"])
             answer = await deployment.fetcher.fetch(address, "GET", "/standin")
-            total += json.loads(answer.body)["runs"].get(request_id, 0)
-    return total
+            run_count += json.loads(answer.body)["runs"].get(request_id, 0)
+    return run_count
 
 
-async def check_call(deployment: Deployment, names: StoryTargets) -> None:
-    """A client's request that may not be repeated, sent twice with one key."""
-    print("A client's request that may not be repeated:")
-    path = f"/services/{names.service}{names.route}"
+async def check_call(deployment: Deployment, targets: StoryTargets) -> None:
+    """Check that a non-repeatable request sent twice with one key runs only once."""
+    print("A request that must not be repeated:")
+    path = f"/services/{targets.service}{targets.route}"
     options = {"key": "story-1", "headers": {"request-id": "story-1"}}
-    async with AsyncClient(deployment.caller_urls(f"/{names.workspace}")) as client:
+    async with AsyncClient(deployment.caller_urls(f"/{targets.workspace}")) as client:
         first = await client.call("POST", path, {"client": 1}, **options)
         check_claim(
             isinstance(first, Answered) and first.status == 200, "it was answered"
@@ -93,133 +94,136 @@
         client.entry_index += 1
         again = await client.call("POST", path, {"client": 1}, **options)
         same = isinstance(again, Answered) and again.body == first.body
-        check_claim(same, "the same key at the other entry got the same answer")
+        check_claim(same, "the other entry gave the same answer for the same key")
     pool = backend.rpartition("-")[0]
     check_claim(
         await count_runs(deployment, pool, "story-1") == 1, "it ran exactly once"
     )
 
 
-async def check_trainer(deployment: Deployment, names: StoryTargets) -> None:
-    """Steps across weight changes, each delivered once and labelled."""
-    print("A trainer's steps across weight changes:")
-    path = f"/{names.workspace}/trainers/{names.trainer}"
-    declared = deployment.catalog.trainers[names.trainer]
+async def check_trainer(deployment: Deployment, targets: StoryTargets) -> None:
+    """Check training steps during weight changes: delivered once, labelled, fresh."""
+    print("Training steps across weight changes:")
+    path = f"/{targets.workspace}/trainers/{targets.trainer}"
+    declared = deployment.catalog.trainers[targets.trainer]
     ids, mixed = [], 0
     async with AsyncTrainer(deployment.caller_urls(path)) as trainer:
-        standin = FakeTrainer(trainer, names.trainer, max_tokens=160)
+        standin = FakeTrainer(trainer, targets.trainer, max_tokens=160)
         await standin.submit(declared.groups_per_step * (STEPS + 1))
         for number in range(1, STEPS + 1):
             pull = asyncio.create_task(trainer.step(number))
             await asyncio.sleep(0.25)
-            # Published while the step is generated: some samples span versions.
+            # Weights are published during generation, so some samples span versions.
             await trainer.publish(number, b"w" * 1_000_000)
             began = time.monotonic()
             delivery = await pull
-            idle = time.monotonic() - began + 0.25
+            idle_s = time.monotonic() - began + 0.25
             trainer.client.entry_index += 1
             again = await trainer.step(number)
             check_claim(
-                again == delivery, f"step {number}: the other entry gives the same"
+                again == delivery, f"step {number}: the other entry returns the same"
             )
             spans = [span for s in delivery.samples for span in s.spans]
             versions = sorted({span[2] for span in spans})
             lag = [delivery.version - sample.oldest for sample in delivery.samples]
             bound = declared.staleness_bound
             check_claim(
-                max(lag) <= bound, f"step {number}: no sample is past {bound} versions"
+                max(lag) <= bound,
+                f"step {number}: no sample is more than {bound} versions behind",
             )
-            whole = all(
+            labelled = all(
                 sample.spans[0][0] == 0 and sample.spans[-1][1] == len(sample.token_ids)
                 for sample in delivery.samples
             )
-            check_claim(whole, f"step {number}: every token has its weight version")
+            check_claim(
+                labelled,
+                f"step {number}: every token is labelled with its weight version",
+            )
             mixed += sum(1 for s in delivery.samples if len(s.spans) > 1)
             ids += [sample.id for sample in delivery.samples]
             print(
                 f"      {len(delivery.samples)} samples, weight versions {versions}, "
-                f"idle {idle:.2f} s, mean staleness {sum(lag) / len(lag):.2f}"
+                f"idle {idle_s:.2f} s, mean staleness {sum(lag) / len(lag):.2f}"
             )
     check_claim(len(ids) == len(set(ids)), f"{len(ids)} samples, none delivered twice")
     check_claim(mixed > 0, f"{mixed} samples span a weight change, labelled by token")
 
 
-async def check_parameter_change(deployment: Deployment, names: StoryTargets) -> None:
-    """A changed parameter, in force on every process."""
+async def check_parameter_change(deployment: Deployment, targets: StoryTargets) -> None:
+    """Check that a changed parameter becomes active in all processes."""
     print("A changed parameter:")
     source = copy.deepcopy(deployment.catalog.source)
     for workspace in source["workspaces"]:
-        if workspace["name"] == names.workspace:
+        if workspace["name"] == targets.workspace:
             workspace.setdefault("parameters", {})["timeout"] = NEW_TIMEOUT_S
     changed = declarations.parse(source, "story")
     began = time.monotonic()
     answer = await deployment.apply(changed, "story", 1)
     check_claim(answer.status == 200, "it was accepted as revision 2")
     rows = await deployment.until_in_force(2)
-    took = time.monotonic() - began
-    check_claim(took < 5, f"revision 2 is in force in all {len(rows)} processes")
-    print(f"      within {took:.2f} s")
+    duration_s = time.monotonic() - began
+    check_claim(duration_s < 5, f"revision 2 is in force in all {len(rows)} processes")
+    print(f"      within {duration_s:.2f} s")
     second = await deployment.apply(changed, "story", 1)
-    check_claim(
-        second.status == 409, "an apply planned on revision 1 is now a conflict"
-    )
+    check_claim(second.status == 409, "an apply based on revision 1 is now rejected")
 
 
-async def call_status(deployment: Deployment, names: StoryTargets, key: str) -> int:
-    """Return the status that a call with a key gets; 0 for no answer."""
-    urls = deployment.caller_urls(f"/{names.workspace}")
+async def call_status(deployment: Deployment, targets: StoryTargets, key: str) -> int:
+    """Return the response status of a call with a key; 0 if there is no answer."""
+    urls = deployment.caller_urls(f"/{targets.workspace}")
     async with AsyncClient(urls, workspace_key=key) as client:
-        outcome = await client.call("GET", f"/services/{names.service}/")
+        outcome = await client.call("GET", f"/services/{targets.service}/")
         return outcome.status if isinstance(outcome, Answered) else 0
 
 
-async def check_keys(deployment: Deployment, names: StoryTargets) -> None:
-    """Calls with keys of a workspace, of which one is taken away."""
+async def check_keys(deployment: Deployment, targets: StoryTargets) -> None:
+    """Check calls with workspace keys, before and after one is removed."""
     print("Keys of a workspace:")
     source = copy.deepcopy(deployment.catalog.source)
     source["keys"] = [
-        {"name": name, "workspace": names.workspace, "digest": key_digest(name)}
+        {"name": name, "workspace": targets.workspace, "digest": key_digest(name)}
         for name in ("old-key", "new-key")
     ]
-    for base, taken in ((2, ""), (3, "old-key")):
-        source["keys"] = [key for key in source["keys"] if key["name"] != taken]
+    for base, removed in ((2, ""), (3, "old-key")):
+        source["keys"] = [key for key in source["keys"] if key["name"] != removed]
         changed = declarations.parse(source, "story")
         await deployment.apply(changed, "story", base)
         await deployment.until_in_force(base + 1)
-        without = await call_status(deployment, names, "")
-        check_claim(without == 401, "a call without a key is not run")
+        keyless_status = await call_status(deployment, targets, "")
+        check_claim(keyless_status == 401, "a call without a key is rejected")
         old, new = [
-            await call_status(deployment, names, key) for key in ("old-key", "new-key")
+            await call_status(deployment, targets, key)
+            for key in ("old-key", "new-key")
         ]
         check_claim(new == 200, "a call with a key is answered")
-        expected = 401 if taken else 200
-        told = (
-            "a key that was taken away is none any more" if taken else "so is another"
+        expected = 401 if removed else 200
+        statement = (
+            "a removed key is rejected" if removed else "a second key is accepted too"
         )
-        check_claim(old == expected, told)
+        check_claim(old == expected, statement)
 
 
 async def tell(folder: pathlib.Path) -> None:
-    """Run the story on one deployment."""
+    """Start a deployment and check all statements on it."""
     catalog = declarations.load(folder)
-    names = choose_targets(catalog)
+    targets = choose_targets(catalog)
     print(f"Starting {folder.name} on loopback.", flush=True)
     async with Deployment(catalog, speed=STANDIN_OPTIONS) as deployment:
         await deployment.apply(catalog, "first", 0)
         rows = await deployment.until_in_force(1)
         check_claim(True, f"{len(rows)} processes have revision 1 in force")
-        await check_call(deployment, names)
-        await check_trainer(deployment, names)
-        await check_parameter_change(deployment, names)
-        await check_keys(deployment, names)
+        await check_call(deployment, targets)
+        await check_trainer(deployment, targets)
+        await check_parameter_change(deployment, targets)
+        await check_keys(deployment, targets)
     alive = [r.name for r in deployment.running.values() if r.process.poll() is None]
-    check_claim(not alive, "nothing was left running")
+    check_claim(not alive, "no process was left running")
 
 
 def main(
     folder: Annotated[pathlib.Path, typer.Argument()] = DEFAULT_FOLDER,
 ) -> None:
-    """Run the main job on embedded stand-ins and check each statement."""
+    """Check a deployment with stand-ins end to end on loopback."""
     try:
         asyncio.run(tell(folder))
     except (ClaimFailed, RuntimeError) as error:
--- a/standins/trainer.py
+++ b/standins/trainer.py
@@ -1,4 +1,4 @@
-"""Stand-in for a trainer: it pulls steps, pretends to train, publishes weights."""
+"""Fake trainer: submits generated groups and publishes dummy weights."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 @attrs.define
 class FakeTrainer:
-    """A trainer over the public client.
+    """A fake trainer that uses the public client.
 
     Attributes
     ----------
@@ -20,9 +20,9 @@
     name : str
     seed : int
     samples, max_tokens : int
-        Of each group.
+        Samples of each group, and tokens of each sample at most.
     submitted : int
-        Groups so far.
+        Number of groups generated so far.
     """
 
     trainer: AsyncTrainer
@@ -33,11 +33,11 @@
     submitted: int = 0
 
     def next_groups(self, count: int) -> list[Group]:
-        """Return new groups; the same seed gives the same."""
-        chance = random.Random(f"{self.seed}/{self.submitted}")
+        """Return new groups; the same seed gives the same groups."""
+        rng = random.Random(f"{self.seed}/{self.submitted}")
         groups = []
         for number in range(self.submitted, self.submitted + count):
-            prompt = " ".join(chance.choices(WORDS, k=24))
+            prompt = " ".join(rng.choices(WORDS, k=24))
             groups.append(
                 Group(
                     id=f"{self.name}-{self.seed}-{number}",
@@ -50,13 +50,13 @@
         return groups
 
     async def submit(self, count: int) -> int:
-        """Submit new groups."""
+        """Submit new groups; return how many the service did not have yet."""
         return await self.trainer.submit(self.next_groups(count))
 
     async def publish_next_version(
         self, delivery: Delivery, weights: bytes = b"weights"
     ) -> int:
-        """Publish the version that a step leads to; return it."""
+        """Publish weights of the next version after a step; return the version."""
         version = max(delivery.version, self.trainer.version) + 1
         await self.trainer.publish(version, weights)
         return version
