--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -60,19 +60,19 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self.target)
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
         except OSError:
             writer.transport.abort()
             return
-        ends = {writer, far_writer}
+        ends = {writer, target_writer}
         self.writers |= ends
-        there = asyncio.create_task(self.forward(reader, far_writer, False))
-        back = asyncio.create_task(self.forward(far_reader, writer, True))
-        await asyncio.wait({there, back}, return_when=asyncio.FIRST_COMPLETED)
+        to_target = asyncio.create_task(self.forward(reader, target_writer, False))
+        to_client = asyncio.create_task(self.forward(target_reader, writer, True))
+        await asyncio.wait({to_target, to_client}, return_when=asyncio.FIRST_COMPLETED)
         for end in ends:
             end.transport.abort()
         self.writers -= ends
-        await asyncio.wait({there, back})
+        await asyncio.wait({to_target, to_client})
 
     async def forward(self, reader, writer, answers: bool) -> None:
         """Forward data in one direction until either side ends."""
