--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,13 +1,14 @@
-"""Ablation: what each mechanism is worth on days of the users' bench.
+"""Ablation study of the optional mechanisms on days of the users' bench.
 
-``python -m bench.ablation PROGRAM SITE DAY:SEED ... --folder FOLDER`` plays each day
-once with all mechanisms of `gypsumshift.policy` and once without each, in checkouts of
-its own below the folder, and prints a table of the differences. The program is the
-users' bench; a day without a seed is played with its own.
+``python -m bench.ablation PROGRAM SITE DAY:SEED ... --folder FOLDER`` runs each day
+once with all mechanisms of `gypsumshift.policy` and once with each one disabled, in
+separate checkouts below the folder, and prints a table of the differences. PROGRAM is
+the users' bench; a day given without a seed runs with its default seed.
 
-Plays are paired: the same day with the same seed, and without charging the processor
-time of a busy machine, so that what differs is the decision. A mechanism has shown its
-worth where the mean difference is more than twice its standard error.
+Runs are paired: both use the same day and seed, and processor time is not charged,
+since it varies on a busy machine. So only the decisions of the mechanism differ. A
+mechanism has a significant effect if the mean difference is more than twice its
+standard error.
 """
 
 import concurrent.futures
@@ -24,153 +25,167 @@
 
 from gypsumshift.policy import ENVIRONMENT_VARIABLE, Policy
 
-__all__ = ["Figures", "Gain", "Play", "figures_in", "gain", "main", "table"]
+__all__ = [
+    "DayRun",
+    "Gain",
+    "RunResult",
+    "compute_gain",
+    "format_table",
+    "main",
+    "parse_result",
+]
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-WHOLE = "all"
-# The row of a day in what the bench prints: name, hosts, score and worth.
-ROW = re.compile(r"^\S+\s+\d+/\d+\s+[\d.]+\s+([\d.]+)", re.MULTILINE)
-# How far each trainer was behind its plan at its last step.
-BEHIND = re.compile(r"steps asked, the last ([\d.]+) s behind its time")
-COPIED = ("gypsumshift", "platform", "deploy", "requirements.txt")
-# Standard errors by which a mean difference must lie beyond 0 to count.
-ERRORS_TO_COUNT = 2.0
+ALL_MECHANISMS = "all"
+# Row of a day in the bench's output: name, hosts, score and worth.
+DAY_ROW = re.compile(r"^\S+\s+\d+/\d+\s+[\d.]+\s+([\d.]+)", re.MULTILINE)
+# Line of a trainer in the bench's output, with the delay of its last step.
+TRAINER_DELAY = re.compile(r"steps asked, the last ([\d.]+) s behind its time")
+COPIED_PATHS = ("gypsumshift", "platform", "deploy", "requirements.txt")
+# A mean difference of more than this many standard errors is significant.
+SIGNIFICANT_ERRORS = 2.0
 
 
 @attrs.frozen
-class Play:
-    """One day played once.
+class DayRun:
+    """One run of a day.
 
     Attributes
     ----------
-    without : str
-        Mechanism that is switched off; ``all`` where none is.
+    disabled : str
+        Mechanism that is disabled; ``all`` if all mechanisms are enabled.
     day : str
         Name and seed, separated by a colon.
     """
 
-    without: str
+    disabled: str
     day: str
 
 
 @attrs.frozen
-class Figures:
-    """What a play showed.
+class RunResult:
+    """Results of one run.
 
     Attributes
     ----------
     worth : float
-    behind : float
-        Seconds that the trainers were behind at their last steps, in the mean.
+        Value of the day as computed by the users' bench.
+    delay_s : float
+        Mean delay of the trainers' last steps, in seconds.
     """
 
     worth: float
-    behind: float = 0.0
+    delay_s: float = 0.0
 
 
 @attrs.frozen
 class Gain:
-    """What a mechanism is worth over some pairs of plays.
+    """Effect of a mechanism, averaged over pairs of runs with and without it.
 
     Attributes
     ----------
-    worth, error : float
-        Mean difference to plays without it, and its standard error.
-    behind : float
-        Mean difference of the seconds that trainers were behind.
+    worth, standard_error : float
+        Mean difference of the worth, and its standard error.
+    delay_s : float
+        Mean difference of the trainers' delay, in seconds.
     helped, pairs : int
-        Pairs in which it was worth something, and all of them.
+        Number of pairs with a positive difference of the worth, and of all pairs.
     """
 
     worth: float
-    error: float
-    behind: float
+    standard_error: float
+    delay_s: float
     helped: int
     pairs: int
 
     @property
-    def counts(self) -> bool:
-        """Whether the difference is beyond what single plays differ by."""
-        return abs(self.worth) > ERRORS_TO_COUNT * self.error
+    def is_significant(self) -> bool:
+        """Whether the difference exceeds the variation between single runs."""
+        return abs(self.worth) > SIGNIFICANT_ERRORS * self.standard_error
 
 
-def checkout(folder: pathlib.Path, without: str) -> pathlib.Path:
-    """Return a checkout of this one with a mechanism switched off."""
-    place = folder / without
-    subprocess.run(["git", "clone", "-q", str(ROOT), str(place)], check=True)
-    for name in COPIED:
-        source, target = ROOT / name, place / name
+def create_checkout(folder: pathlib.Path, mechanism: str) -> pathlib.Path:
+    """Clone this repository with its uncommitted state and disable a mechanism."""
+    checkout = folder / mechanism
+    subprocess.run(["git", "clone", "-q", str(ROOT), str(checkout)], check=True)
+    for name in COPIED_PATHS:
+        source, target = ROOT / name, checkout / name
         if source.is_dir():
             shutil.copytree(source, target, dirs_exist_ok=True)
         else:
             shutil.copy(source, target)
-    if without != WHOLE:
-        deploy = place / "deploy" / "system.toml"
+    if mechanism != ALL_MECHANISMS:
+        deploy = checkout / "deploy" / "system.toml"
         line = (
             'metrics = "9464/metrics"\n'
-            f'env = {{ {ENVIRONMENT_VARIABLE} = "{without}" }}'
+            f'env = {{ {ENVIRONMENT_VARIABLE} = "{mechanism}" }}'
         )
         deploy.write_text(deploy.read_text().replace('metrics = "9464/metrics"', line))
-    return place
+    return checkout
 
 
-def figures_in(text: str) -> Figures:
-    """Return the figures in what the bench printed of a day; raises ValueError."""
-    found = ROW.search(text)
+def parse_result(text: str) -> RunResult:
+    """Parse the bench's output for one day; raises ValueError if it has no row."""
+    found = DAY_ROW.search(text)
     if found is None:
-        raise ValueError(f"no row of a day in: {text[-300:]}")
-    behind = [float(seconds) for seconds in BEHIND.findall(text)]
-    return Figures(float(found[1]), statistics.mean(behind) if behind else 0.0)
+        raise ValueError(f"the bench printed no row of a day in: {text[-300:]}")
+    delays = [float(seconds) for seconds in TRAINER_DELAY.findall(text)]
+    return RunResult(float(found[1]), statistics.mean(delays) if delays else 0.0)
 
 
-def play(program: str, site: str, place: pathlib.Path, one: Play) -> Figures:
-    """Play a day; return its figures."""
-    day, _, seed = one.day.partition(":")
-    why = f"ablation: without {one.without}"
+def run_day(program: str, site: str, checkout: pathlib.Path, run: DayRun) -> RunResult:
+    """Run a day with the users' bench; return its results."""
+    day, _, seed = run.day.partition(":")
+    why = f"ablation: without {run.disabled}"
     command = [program, "run", site, day, "--no-cpu", "--why", why]
     if seed:
         command += ["--seed", seed]
-    done = subprocess.run(command, cwd=place, capture_output=True, text=True)
-    return figures_in(done.stdout + done.stderr)
+    done = subprocess.run(command, cwd=checkout, capture_output=True, text=True)
+    return parse_result(done.stdout + done.stderr)
 
 
-def gain(whole: list[Figures], without: list[Figures]) -> Gain:
-    """Return what a mechanism is worth, by pairs of plays with and without it."""
-    pairs = list(zip(whole, without, strict=True))
+def compute_gain(enabled: list[RunResult], disabled: list[RunResult]) -> Gain:
+    """Compute the effect of a mechanism from paired runs with and without it."""
+    pairs = list(zip(enabled, disabled, strict=True))
     worths = [a.worth - b.worth for a, b in pairs]
     spread = statistics.stdev(worths) if len(worths) > 1 else math.inf
     return Gain(
         worth=statistics.mean(worths),
-        error=spread / math.sqrt(len(worths)),
-        behind=statistics.mean(a.behind - b.behind for a, b in pairs),
+        standard_error=spread / math.sqrt(len(worths)),
+        delay_s=statistics.mean(a.delay_s - b.delay_s for a, b in pairs),
         helped=sum(difference > 0 for difference in worths),
         pairs=len(pairs),
     )
 
 
-def table(found: dict[Play, Figures]) -> list[str]:
-    """Return the rows of the table, a mechanism each."""
-    days = sorted({one.day for one in found})
-    names = [one.without for one in found if one.day == days[0]]
+def format_table(results: dict[DayRun, RunResult]) -> list[str]:
+    """Format the results as a Markdown table with one row per mechanism."""
+    days = sorted({run.day for run in results})
+    names = [run.disabled for run in results if run.day == days[0]]
     rows = [
         "| mechanism | worth | standard error | s behind | helped | counts |",
         "| --- | ---: | ---: | ---: | ---: | --- |",
     ]
-    whole = [found[Play(WHOLE, day)] for day in days]
+    enabled = [results[DayRun(ALL_MECHANISMS, day)] for day in days]
     for name in names:
-        if name != WHOLE:
-            rows.append(row(name, gain(whole, [found[Play(name, d)] for d in days])))
+        if name != ALL_MECHANISMS:
+            rows.append(
+                format_row(
+                    name,
+                    compute_gain(enabled, [results[DayRun(name, d)] for d in days]),
+                )
+            )
     return rows
 
 
-def row(name: str, found: Gain) -> str:
-    """Return the row of one mechanism."""
-    counts = "yes" if found.counts else "no"
-    # Adding nothing makes a negative zero a plain one.
-    worth, behind = round(found.worth, 3) + 0.0, round(found.behind, 2) + 0.0
+def format_row(name: str, gain: Gain) -> str:
+    """Format the table row of one mechanism."""
+    significant = "yes" if gain.is_significant else "no"
+    # Adding 0.0 turns a negative zero into a positive one.
+    worth, delay_s = round(gain.worth, 3) + 0.0, round(gain.delay_s, 2) + 0.0
     return (
-        f"| {name} | {worth:+.3f} | {found.error:.3f} | {behind:+.2f} "
-        f"| {found.helped} of {found.pairs} | {counts} |"
+        f"| {name} | {worth:+.3f} | {gain.standard_error:.3f} | {delay_s:+.2f} "
+        f"| {gain.helped} of {gain.pairs} | {significant} |"
     )
 
 
@@ -182,22 +197,24 @@
     jobs: int = 4,
     without: str = "",
 ) -> None:
-    """Play days without each mechanism, or without those named with commas."""
+    """Run days without each mechanism, or without the comma-separated ones given."""
     names = [name for name in without.split(",") if name]
     mechanisms = names or [field.name for field in attrs.fields(Policy)]
-    places = {name: checkout(folder, name) for name in (WHOLE, *mechanisms)}
-    plays = [Play(name, day) for day in days for name in places]
+    checkouts = {
+        name: create_checkout(folder, name) for name in (ALL_MECHANISMS, *mechanisms)
+    }
+    runs = [DayRun(name, day) for day in days for name in checkouts]
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
         done = pool.map(
-            lambda one: play(program, site, places[one.without], one), plays
+            lambda run: run_day(program, site, checkouts[run.disabled], run), runs
         )
-        found = {}
-        for one, figures in zip(plays, done, strict=True):
-            found[one] = figures
+        results = {}
+        for run, result in zip(runs, done, strict=True):
+            results[run] = result
             typer.echo(
-                f"{one.without} {one.day} {figures.worth:.3f} {figures.behind:.1f}"
+                f"{run.disabled} {run.day} {result.worth:.3f} {result.delay_s:.1f}"
             )
-    typer.echo("\n".join(table(found)))
+    typer.echo("\n".join(format_table(results)))
 
 
 if __name__ == "__main__":
