--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: candidate against baseline, interleaved, over real processes."""
+"""Benchmarks that compare a candidate with a baseline, interleaved, on processes."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,9 @@
-"""``python -m bench [--quick] [NAME ...]`` or ``python -m bench compare A B``."""
+"""Command line of the benchmarks.
+
+``python -m bench [--quick] [NAME ...]`` runs experiments, all by default;
+``python -m bench compare A B`` compares two result files; ``python -m bench table``
+lists the committed results; ``python -m bench capacity`` estimates the capacity.
+"""
 
 import asyncio
 import sys
@@ -7,14 +12,14 @@
 
 import typer
 
-from bench import capacity, change, overhead, report, rollout, routing, steps
+from bench import capacity, change, overhead, report, rollout, routing, trainersteps
 
 EXPERIMENTS = {
     "routing": routing.routing,
     "affinity": routing.affinity,
     "limits": routing.limits,
     "retries": routing.retries,
-    "steps": steps.steps,
+    "steps": trainersteps.trainer_steps,
     "rollout": rollout.rollout,
     "overhead": overhead.overhead,
     "change": change.change,
@@ -27,31 +32,35 @@
 @app.command()
 def main(
     names: Annotated[list[str] | None, typer.Argument()] = None,
-    quick: Annotated[bool, typer.Option(help="Short segments.")] = False,
+    quick: Annotated[
+        bool, typer.Option(help="Use short load segments and fewer rounds.")
+    ] = False,
 ) -> None:
-    """Run experiments, all by default; or compare two results; or do capacity."""
+    """Run experiments (default: all), or print a comparison, table or capacity."""
     names = names or list(EXPERIMENTS)
     if names[0] == "compare":
-        print("\n".join(report.compare(names[1], names[2])))
+        print("\n".join(report.compare_results(names[1], names[2])))
         return
     if names[0] == "table":
-        print(report.table())
+        print(report.format_table())
         return
     if names[0] == "capacity":
-        print(capacity.page())
+        print(capacity.format_page())
         return
     for name in names:
         if name not in EXPERIMENTS:
             known = ", ".join([*EXPERIMENTS, "capacity", "compare", "table"])
-            print(f"bench: no experiment {name!r}; known: {known}", file=sys.stderr)
+            print(
+                f"bench: unknown experiment {name!r}; known: {known}", file=sys.stderr
+            )
             raise typer.Exit(2)
     for name in names:
         began = time.monotonic()
         rows, details = asyncio.run(EXPERIMENTS[name](quick))
-        report.write(name, rows, details)
+        report.write_result(name, rows, details)
         print(f"== {name} ({time.monotonic() - began:.0f} s)")
         for row in rows:
-            print(row.line(), flush=True)
+            print(row.format(), flush=True)
 
 
 if __name__ == "__main__":
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,125 +1,170 @@
-"""Capacity: the arithmetic of the first letter's sizes, from measured slopes."""
+"""Capacity estimate for the required deployment size, from measured costs."""
 
 import json
 
-from bench.report import KEPT, REPORTS
+from bench.report import COMMITTED_REPORTS, REPORTS
 
-__all__ = ["page"]
+__all__ = ["format_page"]
 
 NODES = 350
 WORKERS = 1600
 ZONES = 16
-REQUESTS = 1400
+REQUESTS_PER_S = 1400
 TRAINERS = 8
-SAMPLES = 8192
-STEP_SECONDS = 480
-GROUP = 16
+SAMPLES_PER_STEP = 8192
+STEP_TIME_S = 480
+GROUP_SIZE = 16
 KEYED_SHARE = 0.1
-ROLLOUT_SECONDS = 420
-POLLERS = 2
-HEADS_PERIOD = 0.5
-HOSTS_PERIOD = 10.0
-SUBSET = 16
-ENTRIES_GREETED = 2
-SIDECAR_GREETS = 3
-SIDECAR_PERIOD = 4.0
-ENTRY_PERIOD = 4.0
-
-
-def measured() -> dict:
-    """Return the newest measurements, or those kept in the repository."""
-    found = {}
+ROLLOUT_TIME_S = 420
+POLLERS_PER_ZONE = 2
+REVISION_POLL_PERIOD_S = 0.5
+HOST_POLL_PERIOD_S = 10.0
+SIDECARS_PER_ENTRY = 16
+ENTRY_PEERS = 2
+SIDECAR_HEARTBEATS = 3
+SIDECAR_HEARTBEAT_PERIOD_S = 4.0
+ENTRY_HEARTBEAT_PERIOD_S = 4.0
+
+
+def read_measurements() -> dict:
+    """Read the latest results, or else those committed to the repository."""
+    results = {}
     for name in ("cost", "overhead"):
         path = REPORTS / f"{name}.json"
-        path = path if path.exists() else KEPT / f"{name}.json"
+        path = path if path.exists() else COMMITTED_REPORTS / f"{name}.json"
         if path.exists():
-            found[name] = json.loads(path.read_text())
-    return found
+            results[name] = json.loads(path.read_text())
+    return results
 
 
-def line(what: str, figure: float, budget: float, unit: str) -> str:
-    """Return one figure beside its budget."""
+def format_line(what: str, figure: float, budget: float, unit: str) -> str:
+    """Format one figure beside its budget."""
     ratio = figure / budget
     verdict = "fits" if ratio <= 1 else f"{ratio:.1f} x too much"
     return f"{what:52} {figure:10.3g} {budget:10.3g} {unit:6} {verdict}"
 
 
-def page() -> str:
-    """Return all figures, one a line."""
-    found = measured()
-    if "cost" not in found or "overhead" not in found:
-        return "bench: run `python -m bench cost overhead` first"
-    cost = found["cost"]["details"]["measured"]
-    path = found["overhead"]["rows"][0]["candidate"]
+def format_page() -> str:
+    """Format all figures, one per line."""
+    results = read_measurements()
+    if "cost" not in results or "overhead" not in results:
+        return (
+            "bench: no results of cost and overhead;"
+            " run `python -m bench cost overhead` first"
+        )
+    cost_rows = results["cost"]["details"]["measured"]
+    requests_per_cpu_s = results["overhead"]["rows"][0]["candidate"]
     lines = [f"{'':52} {'figure':>10} {'budget':>10}"]
-    lines += platform_lines()
-    lines += process_lines(cost, path)
+    lines += format_platform_lines()
+    lines += format_process_lines(cost_rows, requests_per_cpu_s)
     return "\n".join(lines)
 
 
-def platform_lines() -> list[str]:
-    """Return what the platform sees."""
-    heads = ZONES * POLLERS / HEADS_PERIOD
-    hosts = NODES / HOSTS_PERIOD
-    groups = TRAINERS * SAMPLES / GROUP / STEP_SECONDS
-    ticks = TRAINERS * 2 / 0.3
-    pulls = TRAINERS * 3 / 0.2
-    keyed = REQUESTS * KEYED_SHARE
-    fences = WORKERS / ROLLOUT_SECONDS
-    reads = heads + hosts + ticks + pulls + keyed + fences + groups * 2
-    leases = TRAINERS * 1.0
-    writes = 2 * keyed + leases + 3 * groups
+def format_platform_lines() -> list[str]:
+    """Format the load on the platform: reads, writes and rows per transaction."""
+    revision_reads = ZONES * POLLERS_PER_ZONE / REVISION_POLL_PERIOD_S
+    host_reads = NODES / HOST_POLL_PERIOD_S
+    group_rate = TRAINERS * SAMPLES_PER_STEP / GROUP_SIZE / STEP_TIME_S
+    driver_reads = TRAINERS * 2 / 0.3
+    pull_reads = TRAINERS * 3 / 0.2
+    keyed_requests = REQUESTS_PER_S * KEYED_SHARE
+    fence_reads = WORKERS / ROLLOUT_TIME_S
+    total_reads = (
+        revision_reads
+        + host_reads
+        + driver_reads
+        + pull_reads
+        + keyed_requests
+        + fence_reads
+        + group_rate * 2
+    )
+    lease_writes = TRAINERS * 1.0
+    total_writes = 2 * keyed_requests + lease_writes + 3 * group_rate
     return [
-        line("reads for configuration and hosts", heads + hosts, 100, "1/s"),
-        line(
-            "reads for trainers (drivers and waiting pulls)", ticks + pulls, 1000, "1/s"
+        format_line(
+            "reads for configuration and hosts", revision_reads + host_reads, 100, "1/s"
         ),
-        line("all reads", reads, 2000, "1/s"),
-        line(
+        format_line(
+            "reads for trainers (drivers and waiting pulls)",
+            driver_reads + pull_reads,
+            1000,
+            "1/s",
+        ),
+        format_line("all reads", total_reads, 2000, "1/s"),
+        format_line(
             f"writes for keys, {KEYED_SHARE:.0%} of requests keyed",
-            2 * keyed,
+            2 * keyed_requests,
             300,
             "1/s",
         ),
-        line(f"objects and rows of groups of {GROUP}", 3 * groups, 100, "1/s"),
-        line("all writes", writes, 400, "1/s"),
-        line(
+        format_line(
+            f"objects and rows of groups of {GROUP_SIZE}", 3 * group_rate, 100, "1/s"
+        ),
+        format_line("all writes", total_writes, 400, "1/s"),
+        format_line(
             "rows in the transaction that seals a step",
-            SAMPLES / GROUP + 2,
+            SAMPLES_PER_STEP / GROUP_SIZE + 2,
             1000,
             "rows",
         ),
     ]
 
 
-def memory(cost: list[dict], kind: str) -> float:
-    """Return the memory of a process among all, by the slope that was measured."""
-    first, last = cost[0], cost[-1]
+def extrapolate_memory_mb(cost_rows: list[dict], kind: str) -> float:
+    """Extrapolate a process's memory in MB to the full size from the measured slope."""
+    first, last = cost_rows[0], cost_rows[-1]
     grown = last[f"{kind}_mb"] - first[f"{kind}_mb"]
     slope = grown / (last["processes"] - first["processes"])
     return last[f"{kind}_mb"] + slope * (NODES + WORKERS - last["processes"])
 
 
-def process_lines(cost: list[dict], path: float) -> list[str]:
-    """Return what an entry and a sidecar spend for control, and on requests."""
-    last = cost[-1]
-    per_pool = SUBSET + ENTRIES_GREETED
-    links_here = min(SUBSET, last["processes"] - last["entries"]) + ENTRIES_GREETED
-    scale = max(1.0, per_pool / max(1, links_here))
-    calls_in = NODES * SUBSET / WORKERS / ENTRY_PERIOD
-    calls_here = last["entries"] * links_here / (last["processes"] - last["entries"])
-    greets = SIDECAR_GREETS / SIDECAR_PERIOD
-    # A part of the cost is there without any messages: never scale it down.
-    side = max(1.0, (calls_in + greets) / (calls_here + greets))
-    cores = REQUESTS / path
+def format_process_lines(cost_rows: list[dict], requests_per_cpu_s: float) -> list[str]:
+    """Format the resources that entries and sidecars use for control and requests."""
+    last = cost_rows[-1]
+    peers_in_production = SIDECARS_PER_ENTRY + ENTRY_PEERS
+    peers_here = (
+        min(SIDECARS_PER_ENTRY, last["processes"] - last["entries"]) + ENTRY_PEERS
+    )
+    entry_scale = max(1.0, peers_in_production / max(1, peers_here))
+    incoming_rate = NODES * SIDECARS_PER_ENTRY / WORKERS / ENTRY_HEARTBEAT_PERIOD_S
+    incoming_rate_here = (
+        last["entries"] * peers_here / (last["processes"] - last["entries"])
+    )
+    outgoing_rate = SIDECAR_HEARTBEATS / SIDECAR_HEARTBEAT_PERIOD_S
+    # Part of the cost does not depend on messages, so it is never scaled down.
+    sidecar_scale = max(
+        1.0, (incoming_rate + outgoing_rate) / (incoming_rate_here + outgoing_rate)
+    )
+    cores = REQUESTS_PER_S / requests_per_cpu_s
     return [
-        line("entry: processor for control", last["entry_cpu"] * scale * 100, 1.2, "%"),
-        line("entry: traffic for control", last["entry_kb"] * scale, 2, "KB/s"),
-        line("entry: memory", memory(cost, "entry"), 64, "MB"),
-        line(
-            "sidecar: processor for control", last["sidecar_cpu"] * side * 100, 1.2, "%"
+        format_line(
+            "entry: processor for control",
+            last["entry_cpu"] * entry_scale * 100,
+            1.2,
+            "%",
+        ),
+        format_line(
+            "entry: traffic for control", last["entry_kb"] * entry_scale, 2, "KB/s"
+        ),
+        format_line(
+            "entry: memory", extrapolate_memory_mb(cost_rows, "entry"), 64, "MB"
+        ),
+        format_line(
+            "sidecar: processor for control",
+            last["sidecar_cpu"] * sidecar_scale * 100,
+            1.2,
+            "%",
+        ),
+        format_line(
+            "sidecar: traffic for control",
+            last["sidecar_kb"] * sidecar_scale,
+            2,
+            "KB/s",
+        ),
+        format_line(
+            "sidecar: memory", extrapolate_memory_mb(cost_rows, "sidecar"), 64, "MB"
+        ),
+        format_line(
+            "cores for the peak's requests, entry and sidecar", cores, NODES, "cores"
         ),
-        line("sidecar: traffic for control", last["sidecar_kb"] * side, 2, "KB/s"),
-        line("sidecar: memory", memory(cost, "sidecar"), 64, "MB"),
-        line("cores for the peak's requests, entry and sidecar", cores, NODES, "cores"),
     ]
--- a/bench/change.py
+++ b/bench/change.py
@@ -1,4 +1,4 @@
-"""Change of configuration to 200 processes, and what idle processes cost."""
+"""Experiments: propagation of a configuration change, and cost of idle processes."""
 
 import asyncio
 import copy
@@ -8,124 +8,129 @@
 
 from bench.overhead import cpu_seconds
 from bench.report import Row
-from bench.scenes import ZONES, service_source
+from bench.testbed import ZONES, service_source
 from gypsumshift import declarations
 from standins.deployment import HOST, Deployment, Running, free_port
 
 __all__ = ["change", "cost"]
 
-ENTRIES_SHARE = 0.2
-PER_PROCESS = 20
-SETTLE = 4.0
-NEWS_OLD = 13.0
-CHANGES = 10
-IDLE = 10.0
+ENTRY_SHARE = 0.2
+INSTANCES_PER_PROCESS = 20
+SETTLE_TIME_S = 4.0
+STARTUP_GOSSIP_TIME_S = 13.0
+CHANGE_COUNT = 10
+IDLE_TIME_S = 10.0
 
 
-class Crowd:
-    """Many instances in a few processes, with one deployment's platform.
+class InstanceFleet:
+    """Many entries and sidecars in a few processes, on one deployment's platform.
 
     Parameters
     ----------
     deployment : Deployment
-        One with a platform and one entry, for operators.
+        Provides the platform and one entry for operators.
     count : int
-        Instances, a fifth of them entries.
+        Number of instances, of which a fifth are entries.
     """
 
     def __init__(self, deployment: Deployment, count: int):
         self.deployment = deployment
-        entries = max(1, int(count * ENTRIES_SHARE))
-        self.words = []
+        entries = max(1, int(count * ENTRY_SHARE))
+        self.specs = []
         for number in range(count):
             role = "entry" if number % (count // entries) == 0 else "sidecar"
             zone = ZONES[number % len(ZONES)]
-            self.words.append(f"{role}-x{number},{role},{zone},{free_port()}")
+            self.specs.append(f"{role}-x{number},{role},{zone},{free_port()}")
         self.log = pathlib.Path(deployment.folder) / "revisions.jsonl"
         self.log.touch()
         self.batches: list[Running] = []
 
     def start(self) -> None:
         """Start all instances."""
-        for start in range(0, len(self.words), PER_PROCESS):
-            self.start_batch(start // PER_PROCESS)
+        for start in range(0, len(self.specs), INSTANCES_PER_PROCESS):
+            self.start_batch(start // INSTANCES_PER_PROCESS)
 
     def start_batch(self, number: int) -> None:
-        """Start one process with its instances."""
-        words = self.words[number * PER_PROCESS : (number + 1) * PER_PROCESS]
+        """Start one process that runs a batch of instances."""
+        specs = self.specs[
+            number * INSTANCES_PER_PROCESS : (number + 1) * INSTANCES_PER_PROCESS
+        ]
         seed = f"{HOST}:{self.deployment.entries()[0].ports['peer']}"
         command = ["bench.instances", str(self.deployment.platform_port), seed]
-        command += [str(self.log), *words]
+        command += [str(self.log), *specs]
         self.batches.append(self.deployment.launch(f"batch-{number}", command))
 
-    def times(self, number: int) -> dict[str, float]:
-        """Return when each instance had a revision in force."""
-        times = {}
+    def in_force_times(self, number: int) -> dict[str, float]:
+        """Return when each instance first had this or a later revision in force."""
+        in_force_times = {}
         for line in self.log.read_text().splitlines():
             value = json.loads(line)
             if value["number"] >= number:
-                times.setdefault(value["name"], value["at"])
-        return times
+                in_force_times.setdefault(value["name"], value["at"])
+        return in_force_times
 
     async def until_in_force(self, number: int, timeout: float = 60.0) -> float:
-        """Wait until all have a revision in force; return when the last had it."""
+        """Wait until a revision is in force everywhere; return the time of the last."""
         deadline = time.monotonic() + timeout
         while time.monotonic() < deadline:
-            times = self.times(number)
-            if len(times) == len(self.words):
-                return max(times.values())
+            in_force_times = self.in_force_times(number)
+            if len(in_force_times) == len(self.specs):
+                return max(in_force_times.values())
             await asyncio.sleep(0.05)
-        names = {word.partition(",")[0] for word in self.words}
-        raise RuntimeError(f"not in force in {sorted(names - set(times))[:10]}")
+        names = {spec.partition(",")[0] for spec in self.specs}
+        raise RuntimeError(
+            f"revision {number} not in force within {timeout:g} s in "
+            f"{sorted(names - set(in_force_times))[:10]}"
+        )
 
 
 async def change(quick: bool) -> tuple[list[Row], dict]:
-    """From acceptance to the last of the processes, also while some are replaced."""
+    """Measure the time from acceptance until in force everywhere, also on restarts."""
     count = 60 if quick else 200
     source = service_source(size=1)
     catalog = declarations.parse(source, "bench")
-    took, reads = [], 0.0
+    latencies, reads = [], 0.0
     async with Deployment(catalog, entries=1) as deployment:
-        crowd = Crowd(deployment, count)
-        crowd.start()
+        fleet = InstanceFleet(deployment, count)
+        fleet.start()
         await deployment.apply(catalog, "first", 0)
-        await crowd.until_in_force(1)
-        await asyncio.sleep(SETTLE)
+        await fleet.until_in_force(1)
+        await asyncio.sleep(SETTLE_TIME_S)
         before, began = await platform_counts(deployment), time.monotonic()
-        for number in range(2, 2 + (3 if quick else CHANGES)):
+        for number in range(2, 2 + (3 if quick else CHANGE_COUNT)):
             accepted = await apply_change(deployment, source, number)
-            took.append(await crowd.until_in_force(number) - accepted)
+            latencies.append(await fleet.until_in_force(number) - accepted)
             await asyncio.sleep(1.0)
         after = await platform_counts(deployment)
         reads = (after["reads"] - before["reads"]) / (time.monotonic() - began)
         number += 1
         accepted = await apply_change(deployment, source, number)
-        for batch in range(len(crowd.batches) // 3):
+        for batch in range(len(fleet.batches) // 3):
             deployment.kill(f"batch-{batch}")
-            crowd.start_batch(batch)
-        replaced = await crowd.until_in_force(number) - accepted
-    worst = max(took)
+            fleet.start_batch(batch)
+        replaced = await fleet.until_in_force(number) - accepted
+    worst = max(latencies)
     rows = [
         Row(f"last of {count} processes, worst", worst, 2.0, "s", "<= 1", worst <= 2),
         Row("with a third replaced", replaced, 5.0, "s", "<= 1", replaced <= 5),
         Row("reads of the platform", reads, 100, "1/s", "<= 1", reads <= 100),
     ]
-    return rows, {"took": took, "replaced": replaced, "processes": count}
+    return rows, {"took": latencies, "replaced": replaced, "processes": count}
 
 
 async def apply_change(deployment: Deployment, source: dict, number: int) -> float:
-    """Apply a change as the next revision; return when it was accepted."""
+    """Apply a changed queue limit as a revision; return when it was accepted."""
     changed = copy.deepcopy(source)
     changed["pools"][0]["queue"] = 100 + number
     catalog = declarations.parse(changed, "bench")
     answer = await deployment.apply(catalog, "change", number - 1)
     if answer.status != 200:
-        raise RuntimeError(answer.body)
+        raise RuntimeError(f"revision {number} was not accepted: {answer.body!r}")
     return time.time()
 
 
 async def platform_counts(deployment: Deployment) -> dict:
-    """Return the platform's counts of reads and writes."""
+    """Read the platform's counts of reads and writes."""
     address = (HOST, deployment.platform_port)
     answer = await deployment.fetcher.fetch(address, "GET", "/counts")
     return json.loads(answer.body)
@@ -140,61 +145,74 @@
 
 
 async def cost(quick: bool) -> tuple[list[Row], dict]:
-    """Memory, processor time and traffic of idle processes, by their number."""
+    """Measure memory, processor time and traffic of idle processes at several sizes."""
     sizes = (10, 25) if quick else (25, 50, 100)
-    measured = []
+    measurements = []
     for size in sizes:
-        measured.append(await idle_cost(size))
-    last = measured[-1]
+        measurements.append(await measure_idle_cost(size))
+    last = measurements[-1]
     rows = [
-        limit_row(f"memory of an idle entry among {sizes[-1]}", last["entry_mb"], 48),
-        limit_row("memory of an idle sidecar", last["sidecar_mb"], 48),
-        limit_row("processor of an idle entry (%)", last["entry_cpu"] * 100, 0.5),
-        limit_row("processor of an idle sidecar (%)", last["sidecar_cpu"] * 100, 0.5),
-        limit_row("traffic of an idle entry (KB/s)", last["entry_kb"], 1),
-        limit_row("traffic of an idle sidecar (KB/s)", last["sidecar_kb"], 1),
+        row_with_limit(
+            f"memory of an idle entry among {sizes[-1]}", last["entry_mb"], 48
+        ),
+        row_with_limit("memory of an idle sidecar", last["sidecar_mb"], 48),
+        row_with_limit("processor of an idle entry (%)", last["entry_cpu"] * 100, 0.5),
+        row_with_limit(
+            "processor of an idle sidecar (%)", last["sidecar_cpu"] * 100, 0.5
+        ),
+        row_with_limit("traffic of an idle entry (KB/s)", last["entry_kb"], 1),
+        row_with_limit("traffic of an idle sidecar (KB/s)", last["sidecar_kb"], 1),
     ]
-    return rows, {"measured": measured}
+    return rows, {"measured": measurements}
 
 
-def limit_row(what: str, value: float, most: float) -> Row:
-    """Return a row that holds a figure against a limit."""
-    return Row(what, value, most, "", "<= 1", value <= most)
+def row_with_limit(what: str, value: float, limit: float) -> Row:
+    """Return a row that compares a value with an upper limit."""
+    return Row(what, value, limit, "", "<= 1", value <= limit)
 
 
-async def idle_cost(size: int) -> dict:
-    """Return what idle processes cost when there are so many."""
-    entries = max(2, int(size * ENTRIES_SHARE))
+async def measure_idle_cost(size: int) -> dict:
+    """Measure the cost of idle entries and sidecars in a deployment of a given size."""
+    entries = max(2, int(size * ENTRY_SHARE))
     source = service_source(size=size - entries)
     catalog = declarations.parse(source, "bench")
     async with Deployment(catalog, entries=entries) as deployment:
         await deployment.apply(catalog, "first", 0)
         await deployment.until_in_force(1)
-        # What the start told is news for a while, and makes heartbeats longer.
-        await asyncio.sleep(NEWS_OLD)
+        # Heartbeats are longer for a while, since they still carry changes at start.
+        await asyncio.sleep(STARTUP_GOSSIP_TIME_S)
         kinds = {"entry": deployment.entries(), "sidecar": deployment.sidecars()}
         pids = {
             kind: [r.process.pid for r in running] for kind, running in kinds.items()
         }
-        before = {kind: cpu_seconds(each) for kind, each in pids.items()}
-        sent = await traffic(deployment)
+        before = {kind: cpu_seconds(role_pids) for kind, role_pids in pids.items()}
+        bytes_before = await read_peer_bytes_sent(deployment)
         reads = await platform_counts(deployment)
-        await asyncio.sleep(IDLE)
-        found = {"processes": size, "entries": entries}
-        more = await traffic(deployment)
-        reads_after = await platform_counts(deployment)
-        for kind, each in pids.items():
-            used = cpu_seconds(each) - before[kind]
-            found[f"{kind}_cpu"] = used / IDLE / len(each)
-            found[f"{kind}_mb"] = sum(map(resident_mb, each)) / len(each)
-            found[f"{kind}_kb"] = (more[kind] - sent[kind]) / IDLE / len(each) / 1024
-        found["platform_reads"] = (reads_after["reads"] - reads["reads"]) / IDLE
-        found["platform_writes"] = (reads_after["writes"] - reads["writes"]) / IDLE
-    return found
-
-
-async def traffic(deployment: Deployment) -> dict[str, float]:
-    """Return the bytes that all entries, and all sidecars, have sent to peers."""
+        await asyncio.sleep(IDLE_TIME_S)
+        cost_row = {"processes": size, "entries": entries}
+        bytes_after = await read_peer_bytes_sent(deployment)
+        counts_after = await platform_counts(deployment)
+        for kind, role_pids in pids.items():
+            used = cpu_seconds(role_pids) - before[kind]
+            cost_row[f"{kind}_cpu"] = used / IDLE_TIME_S / len(role_pids)
+            cost_row[f"{kind}_mb"] = sum(map(resident_mb, role_pids)) / len(role_pids)
+            cost_row[f"{kind}_kb"] = (
+                (bytes_after[kind] - bytes_before[kind])
+                / IDLE_TIME_S
+                / len(role_pids)
+                / 1024
+            )
+        cost_row["platform_reads"] = (
+            counts_after["reads"] - reads["reads"]
+        ) / IDLE_TIME_S
+        cost_row["platform_writes"] = (
+            counts_after["writes"] - reads["writes"]
+        ) / IDLE_TIME_S
+    return cost_row
+
+
+async def read_peer_bytes_sent(deployment: Deployment) -> dict[str, float]:
+    """Return the total bytes sent to peers by entries, and by sidecars."""
     total = {"entry": 0.0, "sidecar": 0.0}
     for row in await deployment.status():
         total[row["role"]] += row["figures"].get("peer_bytes_sent", 0)
--- a/bench/forwarder.py
+++ b/bench/forwarder.py
@@ -1,6 +1,6 @@
-"""A bare HTTP forwarder over h11, the limit that the whole path is held against.
+"""Minimal HTTP forwarder over h11, the baseline for the cost of the whole path.
 
-``python -m bench.forwarder PORT BACKEND_PORT``.
+``python -m bench.forwarder PORT BACKEND_PORT`` runs it until it is terminated.
 """
 
 import asyncio
--- a/bench/instances.py
+++ b/bench/instances.py
@@ -1,7 +1,8 @@
 """Many entries and sidecars in one process, for control-plane experiments.
 
-``python -m bench.instances PLATFORM_PORT SEEDS LOG NAME,ROLE,ZONE,POOL ...``; LOG
-gets a JSON line for each revision that comes in force.
+``python -m bench.instances PLATFORM_PORT SEEDS LOG NAME,ROLE,ZONE,PORT ...`` runs one
+instance per specification, with its peer port. Each revision that comes into force in
+an instance is appended to LOG as a JSON line.
 """
 
 import asyncio
@@ -16,9 +17,9 @@
 HOST = "127.0.0.1"
 
 
-def new_instance(word: str, platform: str, seeds: list[str], log):
-    """Return one entry or sidecar that logs its revisions."""
-    name, role, zone, port = word.split(",")
+def new_instance(spec: str, platform: str, seeds: list[str], log):
+    """Create one entry or sidecar that logs each revision that comes into force."""
+    name, role, zone, port = spec.split(",")
     settings = Settings(
         name=name,
         role=role,
@@ -31,10 +32,10 @@
         backend_url=f"http://{HOST}:9" if role == "sidecar" else "",
     )
     process = (Entry if role == "entry" else Sidecar)(settings)
-    inner = process.revision_changed
+    original = process.revision_changed
 
     def revision_changed() -> None:
-        inner()
+        original()
         line = {
             "at": time.time(),
             "name": name,
@@ -47,11 +48,11 @@
 
 
 async def main() -> None:
-    """Run all instances until the process is ended."""
-    platform, seeds, path, *words = sys.argv[1:]
+    """Run all instances until the process is terminated."""
+    platform, seeds, path, *specs = sys.argv[1:]
     with open(path, "a", buffering=1) as log:
-        for word in words:
-            await new_instance(word, platform, seeds.split(","), log).start()
+        for spec in specs:
+            await new_instance(spec, platform, seeds.split(","), log).start()
         await asyncio.Event().wait()
 
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Load: open-loop callers, whose latency counts from when they meant to call."""
+"""Open-loop load generator that measures latency from each call's scheduled time."""
 
 import asyncio
 import random
@@ -8,30 +8,30 @@
 
 from gypsumshift import Answered, AsyncClient, NotRun
 
-__all__ = ["Load", "Result"]
+__all__ = ["LoadGenerator", "LoadResult"]
 
-HIGHEST_US = 120_000_000
-DIGITS = 3
+MAX_LATENCY_US = 120_000_000
+SIGNIFICANT_DIGITS = 3
 
 
 @attrs.define
-class Result:
-    """What came of one load.
+class LoadResult:
+    """Outcomes and latencies of a load.
 
     Attributes
     ----------
     histogram : HdrHistogram
         Latencies of answered calls, in microseconds.
     answered, not_run, unknown, failed : int
-        Calls by outcome; failed are answers with status 500 or more.
+        Number of calls by outcome; failed are answers with status 500 or higher.
     attempts : int
-        Attempts that entries made for them.
+        Attempts that entries made for the answered calls.
     seconds : float
-        From the first call to the last answer.
+        Time from the start of the load to the last answer.
     """
 
     histogram: HdrHistogram = attrs.field(
-        factory=lambda: HdrHistogram(1, HIGHEST_US, DIGITS)
+        factory=lambda: HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     )
     answered: int = 0
     not_run: int = 0
@@ -42,21 +42,21 @@
 
     @property
     def calls(self) -> int:
-        """All calls."""
+        """Number of calls with any outcome."""
         return self.answered + self.not_run + self.unknown + self.failed
 
-    def quantile(self, percent: float) -> float:
-        """Return a quantile of the latency in milliseconds."""
+    def percentile_ms(self, percent: float) -> float:
+        """Return a percentile of the latency in milliseconds."""
         return self.histogram.get_value_at_percentile(percent) / 1000
 
-    def add(self, other: "Result") -> None:
-        """Add another result, such as that of a later segment."""
+    def add(self, other: "LoadResult") -> None:
+        """Add the counts and latencies of another result, such as a later segment."""
         self.histogram.add(other.histogram)
         for name in ("answered", "not_run", "unknown", "failed", "attempts", "seconds"):
             setattr(self, name, getattr(self, name) + getattr(other, name))
 
     def summary(self) -> dict:
-        """Return the figures as JSON."""
+        """Return the counts, latency percentiles and rate for the result file."""
         return {
             "calls": self.calls,
             "answered": self.answered,
@@ -64,66 +64,68 @@
             "unknown": self.unknown,
             "failed": self.failed,
             "attempts": self.attempts,
-            "p50_ms": round(self.quantile(50), 2),
-            "p99_ms": round(self.quantile(99), 2),
+            "p50_ms": round(self.percentile_ms(50), 2),
+            "p99_ms": round(self.percentile_ms(99), 2),
             "rate": round(self.answered / self.seconds, 1) if self.seconds else 0,
         }
 
 
-class Load:
-    """Callers that arrive by a Poisson process, whatever becomes of those before.
+class LoadGenerator:
+    """Open-loop generator whose calls arrive by a Poisson process.
+
+    Calls are made at their scheduled times, even while earlier ones are unanswered.
 
     Parameters
     ----------
     urls : list of str
-        Of the workspace at the entries.
+        URLs of the workspace at the entries.
     rate : float
-        Calls a second.
+        Calls per second.
     seed : int
-    request : callable
-        Takes a random generator, returns (method, path, body, headers).
+    make_request : callable
+        Takes a random generator; returns (method, path, body, headers).
     timeout : float
-        Seconds for each call.
+        Time limit of each call in seconds.
     """
 
-    def __init__(self, urls, rate, seed, request, timeout=3.0):
+    def __init__(self, urls, rate, seed, make_request, timeout=3.0):
         self.clients = [
             AsyncClient(urls[n:] + urls[:n], timeout) for n in range(len(urls))
         ]
         self.rate = rate
-        self.chance = random.Random(seed)
-        self.request = request
+        self.rng = random.Random(seed)
+        self.make_request = make_request
         self.timeout = timeout
 
-    async def run(self, seconds: float) -> Result:
-        """Call for some seconds, then wait for all answers."""
-        result = Result()
+    async def run(self, seconds: float) -> LoadResult:
+        """Make calls for some seconds, then wait for all answers."""
+        result = LoadResult()
         loop = asyncio.get_running_loop()
-        begin = loop.time()
-        due, calls = begin, set()
+        began = loop.time()
+        due, calls = began, set()
         while True:
-            due += self.chance.expovariate(self.rate)
-            if due >= begin + seconds:
+            due += self.rng.expovariate(self.rate)
+            if due >= began + seconds:
                 break
-            if (early := due - loop.time()) > 0:
-                await asyncio.sleep(early)
+            if (wait := due - loop.time()) > 0:
+                await asyncio.sleep(wait)
             call = asyncio.create_task(self.call(result, due))
             calls.add(call)
             call.add_done_callback(calls.discard)
         if calls:
             await asyncio.wait(set(calls))
-        result.seconds = loop.time() - begin
+        result.seconds = loop.time() - began
         for client in self.clients:
             client.fetcher.close_idle()
         return result
 
-    async def call(self, result: Result, due: float) -> None:
-        """Call once, without retries of the client's own."""
-        method, path, body, headers = self.request(self.chance)
-        client = self.chance.choice(self.clients)
+    async def call(self, result: LoadResult, due: float) -> None:
+        """Make one call without client retries, and add its outcome to the result."""
+        method, path, body, headers = self.make_request(self.rng)
+        client = self.rng.choice(self.clients)
         fields = [*headers, ("prefer", f"wait={self.timeout}")]
         outcome = await client.call_once(method, path, fields, body, self.timeout)
-        took = asyncio.get_running_loop().time() - due
+        latency = asyncio.get_running_loop().time() - due
         if isinstance(outcome, NotRun):
             result.not_run += 1
         elif not isinstance(outcome, Answered):
@@ -133,4 +135,4 @@
         else:
             result.answered += 1
             result.attempts += int(outcome.header("gypsumshift-attempts", "1"))
-            result.histogram.record_value(max(1, int(took * 1e6)))
+            result.histogram.record_value(max(1, int(latency * 1e6)))
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,4 +1,4 @@
-"""Overhead: the whole path against a bare forwarder and a direct call."""
+"""Experiment: overhead of entry and sidecar over a bare forwarder and direct calls."""
 
 import asyncio
 import os
@@ -8,28 +8,28 @@
 from hdrh.histogram import HdrHistogram
 
 from bench.report import Row
-from bench.scenes import scene, service_source, trainer_source
+from bench.testbed import run_testbed, service_source, trainer_source
 from gypsumshift.httpclient import Fetcher
 from standins.deployment import HOST, free_port
 
 __all__ = ["overhead"]
 
-CALLERS = 8
-TICKS = os.sysconf("SC_CLK_TCK")
-TOKENS = 100
+CONCURRENT_CALLERS = 8
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+TOKENS_PER_STREAM = 100
 
 
 def cpu_seconds(pids: list[int]) -> float:
-    """Return the processor time that some processes have used."""
+    """Return the total processor time that processes have used, in seconds."""
     total = 0
     for pid in pids:
         fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2]
         total += sum(map(int, fields.split()[11:13]))
-    return total / TICKS
+    return total / TICKS_PER_S
 
 
-async def closed_loop(port: int, path: str, seconds: float, callers: int):
-    """Call in a closed loop; return the count and a histogram in microseconds."""
+async def run_closed_loop(port: int, path: str, seconds: float, callers: int):
+    """Call in a closed loop; return a histogram of latencies in microseconds."""
     histogram = HdrHistogram(1, 60_000_000, 3)
     fetcher = Fetcher()
     end = time.monotonic() + seconds
@@ -39,7 +39,7 @@
             began = time.monotonic()
             answer = await fetcher.fetch((HOST, port), "GET", path)
             if answer.status != 200:
-                raise RuntimeError(answer)
+                raise RuntimeError(f"GET {path} at port {port} failed: {answer}")
             histogram.record_value(int((time.monotonic() - began) * 1e6))
 
     await asyncio.gather(*(caller() for _ in range(callers)))
@@ -47,11 +47,11 @@
     return histogram
 
 
-async def gaps(port: int, path: str, rounds: int) -> HdrHistogram:
-    """Stream completions one by one; return the gaps between tokens."""
+async def measure_token_gaps(port: int, path: str, rounds: int) -> HdrHistogram:
+    """Stream completions one by one; return the gaps between tokens in microseconds."""
     histogram = HdrHistogram(1, 60_000_000, 3)
     fetcher = Fetcher()
-    body = b'{"prompt": "p", "max_tokens": %d, "stream": true}' % TOKENS
+    body = b'{"prompt": "p", "max_tokens": %d, "stream": true}' % TOKENS_PER_STREAM
     for _ in range(rounds):
         exchange = await fetcher.open((HOST, port), "POST", path, [], body)
         last = None
@@ -66,20 +66,22 @@
 
 
 async def overhead(quick: bool) -> tuple[list[Row], dict]:
-    """Requests per processor second, added latency, and added gaps of a stream."""
+    """Measure requests per processor second, added latency and added token gaps."""
     seconds, rounds = (2.0, 1) if quick else (4.0, 4)
     counts = {"path": [0, 0.0], "bare": [0, 0.0]}
-    one = {name: HdrHistogram(1, 60_000_000, 3) for name in ("path", "bare", "direct")}
-    source = service_source(places=64, size=1, learn_concurrency=False)
-    async with scene(source, 1, duration=0.0, spread=0.0, places=64) as running:
-        deployment = running.deployment
+    single_caller = {
+        name: HdrHistogram(1, 60_000_000, 3) for name in ("path", "bare", "direct")
+    }
+    source = service_source(slots=64, size=1, learn_concurrency=False)
+    async with run_testbed(source, 1, duration=0.0, spread=0.0, places=64) as testbed:
+        deployment = testbed.deployment
         backend = deployment.running["parts-0"].ports["backend"]
         port = free_port()
         command = ["bench.forwarder", str(port), str(backend)]
         forwarder = deployment.launch("forwarder", command)
         await asyncio.sleep(0.5)
         entry, sidecar = deployment.entries()[0], deployment.sidecars()[0]
-        ways = {
+        targets = {
             "path": (entry.ports["caller"], "/yards/services/parts/x"),
             "bare": (port, "/x"),
             "direct": (backend, "/x"),
@@ -89,18 +91,24 @@
             "bare": [forwarder.process.pid],
         }
         for _ in range(rounds):
-            for name, (port, path) in ways.items():
-                one[name].add(await closed_loop(port, path, seconds / 2, 1))
+            for name, (port, path) in targets.items():
+                single_caller[name].add(
+                    await run_closed_loop(port, path, seconds / 2, 1)
+                )
                 if name == "direct":
                     continue
                 before = cpu_seconds(pids[name])
-                histogram = await closed_loop(port, path, seconds, CALLERS)
+                histogram = await run_closed_loop(
+                    port, path, seconds, CONCURRENT_CALLERS
+                )
                 counts[name][0] += histogram.get_total_count()
                 counts[name][1] += cpu_seconds(pids[name]) - before
     rate = {name: count / cpu for name, (count, cpu) in counts.items()}
-    added = p(one["path"], 50) - p(one["direct"], 50)
-    through, direct = await stream_gaps(rounds)
-    more = p(through, 99) - p(direct, 99)
+    added_p50 = percentile_ms(single_caller["path"], 50) - percentile_ms(
+        single_caller["direct"], 50
+    )
+    via_path, direct = await compare_token_gaps(rounds)
+    added_gap = percentile_ms(via_path, 99) - percentile_ms(direct, 99)
     rows = [
         Row(
             "requests a processor second",
@@ -110,27 +118,29 @@
             ">= 0.5",
             rate["path"] >= 0.5 * rate["bare"],
         ),
-        Row("added p50", added, 2.0, "ms", "<= 1", added <= 2.0),
-        Row("added p99 between tokens", more, 1.0, "ms", "<= 1", more <= 1.0),
+        Row("added p50", added_p50, 2.0, "ms", "<= 1", added_p50 <= 2.0),
+        Row("added p99 between tokens", added_gap, 1.0, "ms", "<= 1", added_gap <= 1.0),
     ]
-    return rows, {"p50_ms": {name: p(h, 50) for name, h in one.items()}}
+    return rows, {
+        "p50_ms": {name: percentile_ms(h, 50) for name, h in single_caller.items()}
+    }
 
 
-async def stream_gaps(rounds: int) -> tuple[HdrHistogram, HdrHistogram]:
-    """Return the gaps between tokens through the path, and directly."""
-    through, direct = HdrHistogram(1, 10**8, 3), HdrHistogram(1, 10**8, 3)
+async def compare_token_gaps(rounds: int) -> tuple[HdrHistogram, HdrHistogram]:
+    """Measure the gaps between tokens via entry and sidecar, and directly."""
+    via_path, direct = HdrHistogram(1, 10**8, 3), HdrHistogram(1, 10**8, 3)
     source = trainer_source(size=1)
     source["trainers"] = []
-    async with scene(source, 1, step=0.01) as running:
-        deployment = running.deployment
+    async with run_testbed(source, 1, step=0.01) as testbed:
+        deployment = testbed.deployment
         entry = deployment.entries()[0].ports["caller"]
         backend = deployment.running["model-0"].ports["backend"]
         for _ in range(rounds):
-            through.add(await gaps(entry, "/yards/v1/completions", 3))
-            direct.add(await gaps(backend, "/v1/completions", 3))
-    return through, direct
+            via_path.add(await measure_token_gaps(entry, "/yards/v1/completions", 3))
+            direct.add(await measure_token_gaps(backend, "/v1/completions", 3))
+    return via_path, direct
 
 
-def p(histogram: HdrHistogram, percent: float) -> float:
-    """Return a quantile in milliseconds."""
+def percentile_ms(histogram: HdrHistogram, percent: float) -> float:
+    """Return a percentile of a histogram in microseconds as milliseconds."""
     return histogram.get_value_at_percentile(percent) / 1000
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,29 +1,38 @@
-"""Report: results as JSON with a plot, and two of them side by side."""
+"""Results of experiments: stored as JSON with a plot, compared, and listed."""
 
 import json
 import pathlib
 
 import attrs
 
-__all__ = ["KEPT", "REPORTS", "Row", "compare", "load", "table", "write"]
+__all__ = [
+    "COMMITTED_REPORTS",
+    "REPORTS",
+    "Row",
+    "compare_results",
+    "format_table",
+    "read_result",
+    "write_result",
+]
 
 REPORTS = pathlib.Path("reports")
-KEPT = pathlib.Path("docs/results")
+COMMITTED_REPORTS = pathlib.Path("docs/results")
 
 
 @attrs.frozen
 class Row:
-    """One figure of candidate and baseline beside its aim.
+    """One measurement of candidate and baseline, with its target.
 
     Attributes
     ----------
     what : str
+        Name of the measurement.
     candidate, baseline : float
     unit : str
     aim : str
-        In words, such as "<= 0.5".
+        Target in words, such as "<= 0.5".
     met : bool
-        Whether the aim is met, by ratio or by candidate.
+        Whether the target is met, by the ratio or by the candidate alone.
     """
 
     what: str
@@ -35,13 +44,13 @@
 
     @property
     def ratio(self) -> float:
-        """Candidate over baseline; 1 where both are 0."""
+        """Candidate divided by baseline; 1 if both are 0."""
         if not self.baseline:
             return float("inf") if self.candidate else 1.0
         return self.candidate / self.baseline
 
-    def line(self) -> str:
-        """Return the row as text."""
+    def format(self) -> str:
+        """Format the row as a line of text."""
         verdict = "met" if self.met else "MISSED"
         return (
             f"{self.what:44} {self.candidate:10.4g} {self.baseline:10.4g} {self.unit:8}"
@@ -49,8 +58,8 @@
         )
 
 
-def write(name: str, rows: list[Row], details: dict) -> None:
-    """Write a result into the report folder, and plot its rows."""
+def write_result(name: str, rows: list[Row], details: dict) -> None:
+    """Write a result as JSON into the report folder, and plot its rows."""
     REPORTS.mkdir(exist_ok=True)
     value = {
         "name": name,
@@ -58,11 +67,11 @@
         "details": details,
     }
     (REPORTS / f"{name}.json").write_text(json.dumps(value, indent=2))
-    plot(name, rows, details)
+    plot_result(name, rows, details)
 
 
-def plot(name: str, rows: list[Row], details: dict) -> None:
-    """Plot the ratios of a result, and its curve where it has one."""
+def plot_result(name: str, rows: list[Row], details: dict) -> None:
+    """Plot the ratios of a result, and its curve if it has one."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -87,29 +96,29 @@
     pyplot.close(figure)
 
 
-def load(path: str) -> dict:
-    """Return a result that was written before."""
+def read_result(path: str) -> dict:
+    """Read a result from its JSON file."""
     return json.loads(pathlib.Path(path).read_text())
 
 
-def compare(first: str, second: str) -> list[str]:
-    """Return two results side by side, line by line."""
-    one, two = load(first), load(second)
-    other = {row["what"]: row for row in two["rows"]}
+def compare_results(first: str, second: str) -> list[str]:
+    """Format the ratios of two results side by side, one line per common row."""
+    first_result, second_result = read_result(first), read_result(second)
+    second_rows = {row["what"]: row for row in second_result["rows"]}
     lines = [f"{'':44} {'first':>10} {'second':>10}"]
-    for row in one["rows"]:
-        if row["what"] in other:
-            left, right = row["ratio"], other[row["what"]]["ratio"]
+    for row in first_result["rows"]:
+        if row["what"] in second_rows:
+            left, right = row["ratio"], second_rows[row["what"]]["ratio"]
             lines.append(f"{row['what']:44} {left:10.3f} {right:10.3f}")
     return lines
 
 
-def table(folder: pathlib.Path = KEPT) -> str:
-    """Return all results in a folder as one Markdown table."""
+def format_table(folder: pathlib.Path = COMMITTED_REPORTS) -> str:
+    """Format all results in a folder as one Markdown table."""
     lines = ["| experiment | what | candidate | baseline | ratio | aim | |"]
     lines.append("| --- | --- | ---: | ---: | ---: | --- | --- |")
     for path in sorted(folder.glob("*.json")):
-        for row in load(str(path))["rows"]:
+        for row in read_result(str(path))["rows"]:
             verdict = "met" if row["met"] else "**missed**"
             cells = [path.stem, row["what"]]
             cells += [
--- a/bench/rollout.py
+++ b/bench/rollout.py
@@ -1,75 +1,79 @@
-"""Weight rollout: waves against all at once and one by one."""
+"""Experiment: rollout of weights in waves, compared to all at once and one by one."""
 
 import asyncio
 import json
 import time
 
-from bench.load import Load, Result
+from bench.load import LoadGenerator, LoadResult
 from bench.report import Row
-from bench.scenes import Scene, scene, trainer_source
+from bench.testbed import Testbed, run_testbed, trainer_source
 
 __all__ = ["rollout"]
 
-SIZE = 4_000_000
-RATE = 20e6
-SWAP = 0.4
-ENGINES = 5
-FLOORS = {"waves": 0.4, "all at once": 0.0, "one by one": 0.9}
+WEIGHTS_SIZE_BYTES = 4_000_000
+DOWNLOAD_BYTES_PER_S = 20e6
+SWAP_TIME_S = 0.4
+ENGINE_COUNT = 5
+SERVING_FLOORS = {"waves": 0.4, "all at once": 0.0, "one by one": 0.9}
 
 
-def ask(chance):
-    """Return a client's request."""
-    body = json.dumps({"prompt": f"p{chance.random()}", "max_tokens": 12}).encode()
+def make_request(rng):
+    """Return a client's completion request."""
+    body = json.dumps({"prompt": f"p{rng.random()}", "max_tokens": 12}).encode()
     return "POST", "/v1/completions", body, []
 
 
-async def publish(running: Scene, version: int) -> float:
-    """Publish weights; return the seconds until the last engine has them."""
+async def publish_weights(testbed: Testbed, version: int) -> float:
+    """Publish weights; return the seconds until the last engine serves them."""
     target = f"/v1/weights?pool=model&version={version}"
-    deployment = running.deployment
+    deployment = testbed.deployment
     address = ("127.0.0.1", deployment.entries()[0].ports["operator"])
     began = time.monotonic()
     await deployment.fetcher.fetch(
-        address, "PUT", target, [], b"w" * SIZE, timeout=30.0
+        address, "PUT", target, [], b"w" * WEIGHTS_SIZE_BYTES, timeout=30.0
     )
-    while await lagging(running, version):
+    while await count_lagging_engines(testbed, version):
         await asyncio.sleep(0.02)
     return time.monotonic() - began
 
 
-async def lagging(running: Scene, version: int) -> int:
-    """Return how many engines do not have a version yet."""
+async def count_lagging_engines(testbed: Testbed, version: int) -> int:
+    """Return the number of engines whose version is older than the given one."""
     count = 0
-    for name in running.backends():
-        address = ("127.0.0.1", running.deployment.running[name].ports["backend"])
-        answer = await running.deployment.fetcher.fetch(address, "GET", "/standin")
+    for name in testbed.backend_names():
+        address = ("127.0.0.1", testbed.deployment.running[name].ports["backend"])
+        answer = await testbed.deployment.fetcher.fetch(address, "GET", "/standin")
         count += json.loads(answer.body)["version"] < version
     return count
 
 
 async def rollout(quick: bool) -> tuple[list[Row], dict]:
-    """Time to the last engine, and the clients' tail meanwhile."""
+    """Measure the time to the last engine, and the clients' tail latency meanwhile."""
     rounds = 1 if quick else 3
-    took = {name: [] for name in FLOORS}
-    during = {name: Result() for name in FLOORS}
-    calm = Result()
+    durations = {name: [] for name in SERVING_FLOORS}
+    during = {name: LoadResult() for name in SERVING_FLOORS}
+    calm = LoadResult()
     version = 0
     source = trainer_source({"publishes": False}, swap_allowance=4.0)
     source["trainers"] = []
-    async with scene(source, step=0.004, swap=SWAP, weight_rate=RATE) as running:
-        urls = running.deployment.caller_urls("/yards")
+    async with run_testbed(
+        source, step=0.004, swap=SWAP_TIME_S, weight_rate=DOWNLOAD_BYTES_PER_S
+    ) as testbed:
+        urls = testbed.deployment.caller_urls("/yards")
         for turn in range(rounds):
-            calm.add(await Load(urls, 40, turn, ask).run(4))
-            for name, floor in FLOORS.items():
-                await running.declare({"serving_floor": floor})
+            calm.add(await LoadGenerator(urls, 40, turn, make_request).run(4))
+            for name, floor in SERVING_FLOORS.items():
+                await testbed.declare({"serving_floor": floor})
                 version += 1
-                load = asyncio.create_task(Load(urls, 40, turn, ask).run(4))
+                load = asyncio.create_task(
+                    LoadGenerator(urls, 40, turn, make_request).run(4)
+                )
                 await asyncio.sleep(0.5)
-                took[name].append(await publish(running, version))
+                durations[name].append(await publish_weights(testbed, version))
                 during[name].add(await load)
-    mean = {name: sum(values) / len(values) for name, values in took.items()}
-    # Every engine downloads through one limited store, then swaps.
-    limit = ENGINES * SIZE / RATE + SWAP
+    mean = {name: sum(values) / len(values) for name, values in durations.items()}
+    # All engines download through one store of limited bandwidth, then swap.
+    limit = ENGINE_COUNT * WEIGHTS_SIZE_BYTES / DOWNLOAD_BYTES_PER_S + SWAP_TIME_S
     rows = [
         Row(
             "publication to last engine / limit",
@@ -87,14 +91,16 @@
             "<= 1",
             mean["waves"] <= mean["one by one"],
         ),
-        tail("client p99 during the swap", during["waves"], calm, 1.5),
-        tail("same, against all at once", during["waves"], during["all at once"], 1),
+        p99_row("client p99 during the swap", during["waves"], calm, 1.5),
+        p99_row("same, against all at once", during["waves"], during["all at once"], 1),
     ]
     details = {name: result.summary() for name, result in during.items()}
-    return rows, details | {"calm": calm.summary(), "took": took, "limit": limit}
+    return rows, details | {"calm": calm.summary(), "took": durations, "limit": limit}
 
 
-def tail(what: str, candidate: Result, baseline: Result, most: float) -> Row:
-    """Return a row over two 99th percentiles."""
-    high, low = candidate.quantile(99), baseline.quantile(99)
-    return Row(what, high, low, "ms", f"<= {most}", high <= most * low)
+def p99_row(
+    what: str, candidate: LoadResult, baseline: LoadResult, max_ratio: float
+) -> Row:
+    """Return a row that compares two 99th percentiles of latency."""
+    high, low = candidate.percentile_ms(99), baseline.percentile_ms(99)
+    return Row(what, high, low, "ms", f"<= {max_ratio}", high <= max_ratio * low)
--- a/bench/scenes.py
+++ b/bench/testbed.py
@@ -1,4 +1,4 @@
-"""Scenes: declared deployments that the experiments run on."""
+"""Declarations and running deployments for the experiments."""
 
 import contextlib
 import copy
@@ -7,13 +7,13 @@
 from gypsumshift.declarations import Catalog
 from standins.deployment import Deployment
 
-__all__ = ["Scene", "scene", "service_source", "trainer_source"]
+__all__ = ["Testbed", "run_testbed", "service_source", "trainer_source"]
 
 ZONES = ["leon-a", "leon-b", "qro-a", "qro-b"]
 
 
-def service_source(places: int = 4, **pool) -> dict:
-    """Return declarations with one plain service on five backend servers."""
+def service_source(slots: int = 4, **pool) -> dict:
+    """Return declarations of one plain service on five backend servers."""
     return {
         "zones": ZONES,
         "pools": [
@@ -22,7 +22,7 @@
                 "kind": "service",
                 "size": 5,
                 "zones": ZONES,
-                "concurrency": places,
+                "concurrency": slots,
                 "queue": 64,
                 **pool,
             }
@@ -42,7 +42,7 @@
 
 
 def trainer_source(trainer: dict | None = None, **pool) -> dict:
-    """Return declarations with one model on five engines, and one trainer."""
+    """Return declarations of one model on five engines, and one trainer."""
     return {
         "zones": ZONES,
         "pools": [
@@ -75,8 +75,8 @@
     }
 
 
-class Scene:
-    """A running deployment whose declarations change between segments.
+class Testbed:
+    """A running deployment whose declarations are changed between load segments.
 
     Parameters
     ----------
@@ -90,7 +90,7 @@
         self.revision = 0
 
     async def declare(self, pool: dict | None = None, trainer: dict | None = None):
-        """Change fields of the pool and the trainer; wait until in force."""
+        """Apply changed fields of the pool and the trainer; wait until in force."""
         source = copy.deepcopy(self.source)
         source["pools"][0] |= pool or {}
         if trainer:
@@ -98,22 +98,22 @@
         catalog = declarations.parse(source, "bench")
         answer = await self.deployment.apply(catalog, "bench", self.revision)
         if answer.status != 200:
-            raise RuntimeError(answer.body)
+            raise RuntimeError(f"declarations were not accepted: {answer.body!r}")
         self.revision += 1
         await self.deployment.until_in_force(self.revision)
 
-    def backends(self) -> list[str]:
+    def backend_names(self) -> list[str]:
         """Return the names of the backend servers."""
         return [n for n, r in self.deployment.running.items() if "backend" in r.ports]
 
 
 @contextlib.asynccontextmanager
-async def scene(source: dict, entries: int = 2, **speed):
-    """Run a deployment of some declarations."""
+async def run_testbed(source: dict, entries: int = 2, **standin_options):
+    """Run a deployment of the given declarations as a context manager."""
     catalog: Catalog = declarations.parse(source, "bench")
     if not isinstance(catalog, Catalog):
-        raise RuntimeError(catalog)
-    async with Deployment(catalog, entries, speed=speed) as deployment:
-        running = Scene(deployment, source)
-        await running.declare()
-        yield running
+        raise RuntimeError(f"declarations are invalid: {catalog}")
+    async with Deployment(catalog, entries, speed=standin_options) as deployment:
+        testbed = Testbed(deployment, source)
+        await testbed.declare()
+        yield testbed
