--- a/bench/trainersteps.py
+++ b/bench/trainersteps.py
@@ -11,7 +11,7 @@
 from bench.report import Row
 from bench.testbed import Testbed, run_testbed, trainer_source
 from gypsumshift import AsyncTrainer
-from standins.trainer import StandinTrainer
+from standins.trainer import FakeTrainer
 
 __all__ = ["trainer_steps"]
 
@@ -77,7 +77,7 @@
 
     testbed: Testbed
     trainer: AsyncTrainer
-    standin: StandinTrainer
+    standin: FakeTrainer
     step: int = 0
 
     async def run_steps(self, count: int, crash: bool) -> StepStats:
@@ -122,7 +122,7 @@
         trainer_source(BASELINE_TRAINER), **standin_options
     ) as testbed:
         async with AsyncTrainer(testbed.deployment.caller_urls(PATH)) as trainer:
-            standin = StandinTrainer(
+            standin = FakeTrainer(
                 trainer, "tr", samples=SAMPLES_PER_GROUP, max_tokens=600, seed=1
             )
             runner = StepRunner(testbed, trainer, standin)
