--- a/history/__init__.py
+++ b/history/__init__.py
@@ -1,1 +1,1 @@
-"""History checking: concurrent runs under faults, recorded and then judged."""
+"""Recording of concurrent runs under injected faults, and checks of the guarantees."""
--- a/history/mutants.py
+++ b/history/mutants.py
@@ -1,8 +1,9 @@
-"""Mutants: the daemon with one mechanism switched off, to try the checkers.
+"""Mutants of the daemon, each with one mechanism disabled, to test the checkers.
 
-``python -m history.mutants`` runs each under faults and reports whether its
-checker fails, as it must. ``python -m history.mutants NAME --settings FILE`` is
-the daemon of one mutant.
+``python -m history.mutants`` runs each mutant under faults and reports whether the
+checker of its promise finds a violation, as it must. The environment variable ``ONLY``
+selects mutants. ``python -m history.mutants NAME --settings FILE`` runs the daemon of
+one mutant.
 """
 
 import asyncio
@@ -13,27 +14,27 @@
 
 __all__ = ["MUTANTS"]
 
-DURATION = 25.0
+DURATION_S = 25.0
 CALLERS = 12
-TRIES = 3
+SEEDS_PER_MUTANT = 3
 FIRST_SEED = 1
-LATE = 8.0
+REVISION_DELAY_S = 8.0
 
 
-def believe_first():
-    """Label all tokens of a stream with the version of its first."""
+def label_with_first_version():
+    """Label all tokens of a stream with the version of the first one."""
     from gypsumshift import labels
 
-    inner = labels.Labeller.add_tokens
+    original = labels.Labeller.add_tokens
 
-    def add(self, tokens, version):
-        inner(self, tokens, self.spans[0].version if self.spans else version)
+    def add_tokens(self, tokens, version):
+        original(self, tokens, self.spans[0].version if self.spans else version)
 
-    labels.Labeller.add_tokens = add
+    labels.Labeller.add_tokens = add_tokens
 
 
-def skip_staleness():
-    """Check the age of samples nowhere."""
+def skip_staleness_checks():
+    """Skip all checks of the age of samples."""
     from gypsumshift import trainerdriver, trainerstore
 
     trainerstore.is_fresh = trainerdriver.is_fresh = lambda group, state, bound: True
@@ -43,17 +44,17 @@
 
 
 def keep_sealed_groups():
-    """Seal steps without taking their groups off the list."""
+    """Seal steps without removing their groups from the list."""
     from gypsumshift import trainerstore
 
-    inner = trainerstore.TrainerStore.commit_step
+    original = trainerstore.TrainerStore.commit_step
 
     async def commit_step(self, state, chosen):
-        kept = [(_Kept(row), group) for row, group in chosen]
-        return await inner(self, state, kept)
+        kept = [(_KeptRow(row), group) for row, group in chosen]
+        return await original(self, state, kept)
 
-    class _Kept:
-        """A row whose removal hits another place."""
+    class _KeptRow:
+        """A row with another table name, so that its removal has no effect."""
 
         def __init__(self, row):
             self.table, self.key, self.version = "nowhere", row.key, None
@@ -61,37 +62,37 @@
     trainerstore.TrainerStore.commit_step = commit_step
 
 
-def accept_short_bodies():
-    """Take an answer that ends early for a whole one."""
+def accept_truncated_bodies():
+    """Accept a truncated answer as complete."""
     from gypsumshift import httpclient
 
-    inner = httpclient.Exchange.next_event
+    original = httpclient.Exchange.next_event
 
-    async def event(self):
+    async def next_event(self):
         try:
-            return await inner(self)
+            return await original(self)
         except httpclient.FetchError:
             return httpclient.h11.EndOfMessage()
 
-    httpclient.Exchange.next_event = event
+    httpclient.Exchange.next_event = next_event
 
 
-def lost_is_not_run():
-    """Call every request whose fate is unknown "not run"."""
+def report_unknown_as_not_run():
+    """Report requests with unknown outcome as "not run"."""
     from gypsumshift import callerapi
 
-    inner = callerapi.problem_response
+    original = callerapi.problem_response
 
-    def problem(status, outcome, detail, **members):
+    def problem_response(status, outcome, detail, **members):
         if outcome == "unknown":
-            return inner(503, "not run", detail, retry_after=1.0)
-        return inner(status, outcome, detail, **members)
+            return original(503, "not run", detail, retry_after=1.0)
+        return original(status, outcome, detail, **members)
 
-    callerapi.problem_response = problem
+    callerapi.problem_response = problem_response
 
 
-def forget_keys():
-    """Take every key for a fresh one."""
+def forget_idempotency_keys():
+    """Treat each idempotency key as new."""
     from gypsumshift import idempotency
 
     async def inspect_row(self, row, job):
@@ -101,22 +102,22 @@
 
 
 def ignore_leaving():
-    """Go on taking work while leaving."""
+    """Keep accepting work while leaving."""
     from gypsumshift import membership, sidecar
 
     sidecar.Sidecar.start_leaving = lambda self, reason: None
-    inner = membership.Membership.sidecars
+    original = membership.Membership.sidecars
 
     def sidecars(self, pool):
         for known in self.peers.values():
             known.member.leaving = False
-        return inner(self, pool)
+        return original(self, pool)
 
     membership.Membership.sidecars = sidecars
 
 
-def stop_at_once():
-    """Shut down without finishing what runs."""
+def stop_without_draining():
+    """Shut down without finishing running requests."""
     from gypsumshift import entry, sidecar
 
     async def drain(self, deadline):
@@ -125,39 +126,42 @@
     entry.Entry.drain = sidecar.Sidecar.drain = drain
 
 
-def spread_late():
-    """Learn new revisions only long after they were told."""
+def delay_revisions():
+    """Delay the reading of new revisions."""
     from gypsumshift import heartbeats, poller
 
-    pull, read = heartbeats.HeartbeatExchanger.pull_revision, poller.Poller.read_heads
+    original_pull, original_read = (
+        heartbeats.HeartbeatExchanger.pull_revision,
+        poller.Poller.read_heads,
+    )
 
     async def pull_revision(self, link):
-        await asyncio.sleep(LATE)
-        await pull(self, link)
+        await asyncio.sleep(REVISION_DELAY_S)
+        await original_pull(self, link)
 
     async def read_heads(self):
-        await asyncio.sleep(LATE)
-        await read(self)
+        await asyncio.sleep(REVISION_DELAY_S)
+        await original_read(self)
 
     heartbeats.HeartbeatExchanger.pull_revision = pull_revision
     poller.Poller.read_heads = read_heads
 
 
 MUTANTS = {
-    "labels": believe_first,
-    "staleness": skip_staleness,
+    "labels": label_with_first_version,
+    "staleness": skip_staleness_checks,
     "exactly-once": keep_sealed_groups,
-    "whole-answers": accept_short_bodies,
-    "not-run": lost_is_not_run,
-    "at-most-once": forget_keys,
+    "whole-answers": accept_truncated_bodies,
+    "not-run": report_unknown_as_not_run,
+    "at-most-once": forget_idempotency_keys,
     "leaving": ignore_leaving,
-    "graceful": stop_at_once,
-    "configuration": spread_late,
+    "graceful": stop_without_draining,
+    "configuration": delay_revisions,
 }
 
 
-# The faults that bear on a mechanism; all where none are named.
-FAULTS = {
+# Faults that can expose a mutant; mutants that are not listed get all faults.
+FAULTS_BY_MUTANT = {
     "not-run": ("kill_sidecar", "crash_backend", "service_fault"),
     "leaving": ("drain",),
     "graceful": ("graceful",),
@@ -173,16 +177,18 @@
 
 
 def is_caught(name: str) -> bool:
-    """Run one mutant under faults, on some seeds; return whether it is caught."""
-    from history.__main__ import record
-    from history.checkers import judge
+    """Run one mutant under faults with several seeds; return whether it is caught."""
+    from history.__main__ import record_history
+    from history.checkers import check_history
 
     daemon = ["history.mutants", name]
-    for seed in range(FIRST_SEED, FIRST_SEED + TRIES):
+    for seed in range(FIRST_SEED, FIRST_SEED + SEEDS_PER_MUTANT):
         records = asyncio.run(
-            record(seed, DURATION, CALLERS, daemon, FAULTS.get(name, ()))
+            record_history(
+                seed, DURATION_S, CALLERS, daemon, FAULTS_BY_MUTANT.get(name, ())
+            )
         )
-        findings = {finding.promise: finding for finding in judge(records)}
+        findings = {finding.promise: finding for finding in check_history(records)}
         if findings[name].violations:
             print(f"    {findings[name].violations[0]}")
             return True
@@ -190,16 +196,19 @@
 
 
 def main() -> int:
-    """Run all mutants, or those in ``ONLY``; return how many were missed."""
+    """Run all mutants, or those in ``ONLY``; return the number of missed ones."""
     chosen = os.environ.get("ONLY", "").split() or list(MUTANTS)
     missed = 0
     for name in chosen:
         began = time.time()
         caught = is_caught(name)
         missed += not caught
-        what = inspect.getdoc(MUTANTS[name])
+        description = inspect.getdoc(MUTANTS[name])
         verdict = "caught" if caught else "MISSED"
-        print(f"{verdict}  {name:14} {what} ({time.time() - began:.0f} s)", flush=True)
+        print(
+            f"{verdict}  {name:14} {description} ({time.time() - began:.0f} s)",
+            flush=True,
+        )
     return missed
 
 
--- a/history/workload.py
+++ b/history/workload.py
@@ -1,4 +1,4 @@
-"""Workload: concurrent callers, a trainer and an operator, all recorded."""
+"""Recorded workload of concurrent callers, a trainer and operators."""
 
 import asyncio
 import copy
@@ -16,24 +16,24 @@
 
 __all__ = ["Recorder", "Workload"]
 
-CALL_TIMEOUT = 6.0
-PROBE_PERIOD = 0.5
-APPLY_PERIOD = 3.0
-PUBLISH_PAUSE = 0.3
-GROUPS_AHEAD = 12
-DOUBLE_SHARE = 0.3
-RAW_SHARE = 0.3
-THINK = 0.02
+CALL_TIMEOUT_S = 6.0
+PROBE_PERIOD_S = 0.5
+APPLY_PERIOD_S = 3.0
+PUBLISH_PAUSE_S = 0.3
+UNDELIVERED_GROUPS = 12
+DUPLICATE_SHARE = 0.3
+NO_RETRY_SHARE = 0.3
+MEAN_THINK_TIME_S = 0.02
 
 
 class Recorder:
-    """Keeps the records of one history."""
+    """Collects the records of one history."""
 
     def __init__(self):
         self.records: list[dict] = []
 
     def add(self, kind: str, **fields) -> dict:
-        """Add a record."""
+        """Add a record of a kind; return it, so that it can be completed later."""
         record = {"kind": kind, **fields}
         self.records.append(record)
         return record
@@ -41,7 +41,7 @@
 
 @attrs.define
 class Workload:
-    """Everybody who uses a deployment.
+    """Runs all users of a deployment and records what they observe.
 
     Attributes
     ----------
@@ -49,8 +49,8 @@
     recorder : Recorder
     seed : int
     workspace, trainer : str
-    done : asyncio.Event
-        Set when no new work shall begin.
+    stopping : asyncio.Event
+        Set when no new work is to be started.
     """
 
     deployment: Deployment
@@ -58,65 +58,73 @@
     seed: int
     workspace: str = "clinics"
     trainer: str = "scheduling-trainer"
-    done: asyncio.Event = attrs.field(factory=asyncio.Event)
-    counter: int = 0
+    stopping: asyncio.Event = attrs.field(factory=asyncio.Event)
+    call_count: int = 0
     submitted: int = 0
     delivered: int = 0
     version: int = 0
 
     async def run(self, callers: int) -> None:
-        """Use the deployment until told to be done."""
-        jobs = [self.caller(number) for number in range(callers)]
-        await asyncio.gather(*jobs, self.train(), self.operate(), self.probe())
+        """Run all users until `stopping` is set and the trainer has pulled all."""
+        caller_loops = [self.run_caller(number) for number in range(callers)]
+        await asyncio.gather(
+            *caller_loops, self.run_trainer(), self.run_operators(), self.run_probes()
+        )
 
     # Callers
 
-    async def caller(self, number: int) -> None:
-        """Call one thing after another."""
-        chance = random.Random(f"{self.seed}/{number}")
+    async def run_caller(self, number: int) -> None:
+        """Make one random call after another until stopping."""
+        rng = random.Random(f"{self.seed}/{number}")
         urls = self.deployment.caller_urls(f"/{self.workspace}")
-        chance.shuffle(urls)
-        async with AsyncClient(urls, CALL_TIMEOUT) as client:
-            async with AsyncClient(urls[::-1], CALL_TIMEOUT) as other:
-                while not self.done.is_set():
-                    await self.call_once(chance, client, other)
-                    await asyncio.sleep(chance.expovariate(1 / THINK))
+        rng.shuffle(urls)
+        async with AsyncClient(urls, CALL_TIMEOUT_S) as client:
+            async with AsyncClient(urls[::-1], CALL_TIMEOUT_S) as other:
+                while not self.stopping.is_set():
+                    await self.call_once(rng, client, other)
+                    await asyncio.sleep(rng.expovariate(1 / MEAN_THINK_TIME_S))
 
-    async def call_once(self, chance, client, other) -> None:
-        """Call one thing; some sales are made at two entries at once."""
-        self.counter += 1
-        name = f"c{self.counter}"
-        sort = chance.choices(["read", "sale", "model", "stream"], [40, 30, 15, 15])[0]
-        raw = chance.random() < RAW_SHARE
+    async def call_once(self, rng, client, other) -> None:
+        """Make one random call; some sales are sent to two entries concurrently."""
+        self.call_count += 1
+        name = f"c{self.call_count}"
+        sort = rng.choices(["read", "sale", "model", "stream"], [40, 30, 15, 15])[0]
+        no_retries = rng.random() < NO_RETRY_SHARE
         if sort == "read":
-            await self.service(client, "read", name, "GET", "/availability", raw)
+            await self.call_service(
+                client, "read", name, "GET", "/availability", no_retries
+            )
         elif sort == "sale":
             path = f"/bookings/{name}/confirm"
-            double = chance.random() < DOUBLE_SHARE
-            clients = [client, other] if double else [client]
-            # Only a caller that sends a key once may vouch for it.
-            fresh = raw and not double
+            duplicate = rng.random() < DUPLICATE_SHARE
+            clients = [client, other] if duplicate else [client]
+            # Only a caller that sends a key once may declare it fresh.
+            fresh_key = no_retries and not duplicate
             await asyncio.gather(
                 *(
-                    self.service(c, "sale", name, "POST", path, raw, fresh)
+                    self.call_service(
+                        c, "sale", name, "POST", path, no_retries, fresh_key
+                    )
                     for c in clients
                 )
             )
         else:
-            await self.model(client, sort, name, chance.randint(4, 40), raw)
+            await self.call_model(client, sort, name, rng.randint(4, 40), no_retries)
 
-    async def service(self, client, sort, name, method, path, raw, fresh=False) -> None:
-        """Call a plain service; raw without the client's own retries."""
+    async def call_service(
+        self, client, sort, name, method, path, no_retries, fresh_key=False
+    ) -> None:
+        """Call a plain service with or without client retries; record the outcome."""
         fields = {"request-id": name}
         if sort == "sale":
             fields["idempotency-key"] = name
-        if fresh:
+        if fresh_key:
             fields["gypsumshift-fresh-key"] = "?1"
         began = time.time()
         path = f"/services/booking{path}"
-        if raw:
-            headers = [*fields.items(), ("prefer", f"wait={CALL_TIMEOUT}")]
-            outcome = await client.call_once(method, path, headers, b"", CALL_TIMEOUT)
+        if no_retries:
+            headers = [*fields.items(), ("prefer", f"wait={CALL_TIMEOUT_S}")]
+            outcome = await client.call_once(method, path, headers, b"", CALL_TIMEOUT_S)
         else:
             outcome = await client.call(method, path, headers=fields)
         own = whole = True
@@ -128,17 +136,17 @@
             except ValueError:
                 whole = False
             why = f"status {outcome.status}: {outcome.body[:80]!r}"
-        self.note(sort, name, began, outcome, own, whole, why)
+        self.record_call(sort, name, began, outcome, own, whole, why)
 
-    async def model(self, client, sort, name, tokens, raw) -> None:
-        """Ask the model for a completion."""
+    async def call_model(self, client, sort, name, tokens, no_retries) -> None:
+        """Request a completion with or without client retries; record the outcome."""
         prompt = f"{name} asks for an interpreter"
         body = {"prompt": prompt, "max_tokens": tokens, "stream": sort == "stream"}
         began = time.time()
         path = "/v1/completions"
-        if raw:
+        if no_retries:
             data = json.dumps(body).encode()
-            outcome = await client.call_once("POST", path, [], data, CALL_TIMEOUT)
+            outcome = await client.call_once("POST", path, [], data, CALL_TIMEOUT_S)
         else:
             outcome = await client.call("POST", path, body, key=name)
         own = whole = True
@@ -149,53 +157,56 @@
                 whole = data.count(b'"token_ids"') == tokens and b"[DONE]" in data
             else:
                 whole = b'"completion_tokens": %d' % tokens in data
-        self.note(sort, name, began, outcome, own, whole, f"{tokens} tokens")
+        self.record_call(sort, name, began, outcome, own, whole, f"{tokens} tokens")
 
-    def note(self, sort, name, began, outcome, own, whole, why) -> None:
-        """Record a call."""
-        words = "answered" if isinstance(outcome, Answered) else "unknown"
+    def record_call(self, sort, name, began, outcome, own, whole, why) -> None:
+        """Record a call with its outcome and time."""
+        outcome_name = "answered" if isinstance(outcome, Answered) else "unknown"
         if isinstance(outcome, NotRun):
-            words = "not run"
+            outcome_name = "not run"
         fields = {"sort": sort, "id": name, "from": began, "to": time.time()}
-        if words != "answered":
+        if outcome_name != "answered":
             why = outcome.reason
         self.recorder.add(
-            "call", **fields, outcome=words, own=own, whole=whole, why=why
+            "call", **fields, outcome=outcome_name, own=own, whole=whole, why=why
         )
 
     # Trainer
 
-    async def train(self) -> None:
-        """Pull steps, publish weights, and at the end pull all that is left."""
+    async def run_trainer(self) -> None:
+        """Pull steps and publish weights; when stopping, pull all remaining samples."""
         declared = self.deployment.catalog.trainers[self.trainer]
         path = f"/{self.workspace}/trainers/{self.trainer}"
         urls = self.deployment.caller_urls(path)
-        chance = random.Random(f"{self.seed}/trainer")
-        async with AsyncTrainer(urls) as one, AsyncTrainer(urls[::-1]) as two:
-            standin = FakeTrainer(one, self.trainer, self.seed, max_tokens=120)
+        rng = random.Random(f"{self.seed}/trainer")
+        async with (
+            AsyncTrainer(urls) as client,
+            AsyncTrainer(urls[::-1]) as second_client,
+        ):
+            standin = FakeTrainer(client, self.trainer, self.seed, max_tokens=120)
             step = 0
-            while not self.done.is_set() or self.delivered < self.submitted:
-                if not self.done.is_set():
+            while not self.stopping.is_set() or self.delivered < self.submitted:
+                if not self.stopping.is_set():
                     await self.submit(standin)
                 step += 1
-                one.version = two.version = self.version
-                delivery = await self.pull(one, step, declared)
-                if chance.random() < 0.3:
-                    await self.pull(two, step, declared)
+                client.version = second_client.version = self.version
+                delivery = await self.pull_step(client, step, declared)
+                if rng.random() < 0.3:
+                    await self.pull_step(second_client, step, declared)
                 self.delivered += len(delivery.samples)
-                await asyncio.sleep(PUBLISH_PAUSE)
-                self.version += chance.randint(1, 2)
-                await one.publish(self.version, b"w" * 100_000)
+                await asyncio.sleep(PUBLISH_PAUSE_S)
+                self.version += rng.randint(1, 2)
+                await client.publish(self.version, b"w" * 100_000)
             self.recorder.add("end")
 
     async def submit(self, standin: FakeTrainer) -> None:
-        """Keep some groups ahead."""
-        ahead = (self.submitted - self.delivered) // standin.samples
-        count = GROUPS_AHEAD - ahead
+        """Submit groups so that a number of undelivered groups is kept."""
+        undelivered = (self.submitted - self.delivered) // standin.samples
+        count = UNDELIVERED_GROUPS - undelivered
         if count <= 0:
             return
         declared = self.deployment.catalog.trainers[self.trainer]
-        count -= (ahead + count) % declared.groups_per_step
+        count -= (undelivered + count) % declared.groups_per_step
         groups = standin.next_groups(count)
         names = [f"{g.id}/{n}" for g in groups for n in range(g.samples)]
         self.submitted += len(names)
@@ -204,9 +215,9 @@
             await standin.trainer.submit(groups)
         self.recorder.add("submitted", samples=names)
 
-    async def pull(self, trainer, step: int, declared):
-        """Pull a step and record it."""
-        asked = trainer.version
+    async def pull_step(self, trainer, step: int, declared):
+        """Pull a step and record its delivery."""
+        version = trainer.version
         delivery = await trainer.step(step)
         samples = [
             {"id": s.id, "spans": s.spans, "token_ids": s.token_ids}
@@ -220,7 +231,7 @@
             "delivery",
             at=time.time(),
             step=step,
-            trainer_version=asked,
+            trainer_version=version,
             bound=declared.staleness_bound,
             repeated=repeated,
             samples=samples,
@@ -229,18 +240,20 @@
 
     # Operator
 
-    async def operate(self) -> None:
-        """Change a parameter again and again; two operators race."""
+    async def run_operators(self) -> None:
+        """Change a parameter periodically, each time by two racing operators."""
         source = copy.deepcopy(self.deployment.catalog.source)
         number = 1
-        while not self.done.is_set():
-            await asyncio.sleep(APPLY_PERIOD)
+        while not self.stopping.is_set():
+            await asyncio.sleep(APPLY_PERIOD_S)
             number += 1
             source["workspaces"][0]["parameters"] = {"timeout": 5.0 + number % 5}
-            await asyncio.gather(*(self.apply(source, who) for who in range(2)))
+            await asyncio.gather(
+                *(self.apply_revision(source, who) for who in range(2))
+            )
 
-    async def apply(self, source: dict, who: int) -> None:
-        """Apply on top of the newest revision, through one of the entries."""
+    async def apply_revision(self, source: dict, who: int) -> None:
+        """Apply declarations on top of the latest revision, through one entry."""
         value = {"declarations": source, "author": f"operator-{who}", "message": "race"}
         try:
             plan = await self.deployment.operator("POST", "/v1/plan", value, who)
@@ -252,11 +265,11 @@
             number = json.loads(answer.body)["number"]
             self.recorder.add("accepted", at=time.time(), number=number)
 
-    async def probe(self) -> None:
-        """Record the revision that each process has in force."""
+    async def run_probes(self) -> None:
+        """Record periodically the revision that each process has in force."""
         turn = 0
-        while not self.done.is_set():
-            await asyncio.sleep(PROBE_PERIOD)
+        while not self.stopping.is_set():
+            await asyncio.sleep(PROBE_PERIOD_S)
             turn += 1
             try:
                 rows = await self.deployment.status(turn % 2)
