--- a/bench/change.py
+++ b/bench/change.py
@@ -85,7 +85,10 @@
 
 
 async def change(quick: bool) -> tuple[list[Row], dict]:
-    """Measure the time from acceptance until in force everywhere, also on restarts."""
+    """Measure the time until an accepted change is in force in all processes.
+
+    The last change is made while a third of the processes is replaced.
+    """
     count = 60 if quick else 200
     source = service_source(size=1)
     catalog = declarations.parse(source, "bench")
--- a/bench/trainersteps.py
+++ b/bench/trainersteps.py
@@ -43,8 +43,8 @@
     idle_s : list of float
         Seconds for which the trainer waited for each step.
     lags : list of int
-        Versions by which the oldest token of each sample lagged behind its
-        delivery.
+        Versions by which the oldest token of each sample lagged behind
+        its delivery.
     """
 
     idle_s: list[float] = attrs.field(factory=list)
@@ -77,14 +77,14 @@
 
     testbed: Testbed
     trainer: AsyncTrainer
-    standin: FakeTrainer
+    fake_trainer: FakeTrainer
     step: int = 0
 
     async def run_steps(self, count: int, crash: bool) -> StepStats:
         """Run some steps; optionally crash an engine during the middle one."""
         stats = StepStats()
         for number in range(count):
-            await self.standin.submit(GROUPS_PER_STEP)
+            await self.fake_trainer.submit(GROUPS_PER_STEP)
             self.step += 1
             if crash and number == count // 2:
                 asyncio.get_running_loop().call_later(0.3, self.crash)
@@ -122,11 +122,11 @@
         trainer_source(BASELINE_TRAINER), **standin_options
     ) as testbed:
         async with AsyncTrainer(testbed.deployment.caller_urls(PATH)) as trainer:
-            standin = FakeTrainer(
+            fake_trainer = FakeTrainer(
                 trainer, "tr", samples=SAMPLES_PER_GROUP, max_tokens=600, seed=1
             )
-            runner = StepRunner(testbed, trainer, standin)
-            await standin.submit(4 * GROUPS_PER_STEP)
+            runner = StepRunner(testbed, trainer, fake_trainer)
+            await fake_trainer.submit(4 * GROUPS_PER_STEP)
             for _ in range(rounds):
                 for stats, pool, declared in (
                     (candidate, CANDIDATE_POOL, CANDIDATE_TRAINER),
--- a/history/workload.py
+++ b/history/workload.py
@@ -79,12 +79,12 @@
         urls = self.deployment.caller_urls(f"/{self.workspace}")
         rng.shuffle(urls)
         async with AsyncClient(urls, CALL_TIMEOUT_S) as client:
-            async with AsyncClient(urls[::-1], CALL_TIMEOUT_S) as other:
+            async with AsyncClient(urls[::-1], CALL_TIMEOUT_S) as second_client:
                 while not self.stopping.is_set():
-                    await self.call_once(rng, client, other)
+                    await self.call_once(rng, client, second_client)
                     await asyncio.sleep(rng.expovariate(1 / MEAN_THINK_TIME_S))
 
-    async def call_once(self, rng, client, other) -> None:
+    async def call_once(self, rng, client, second_client) -> None:
         """Make one random call; some sales are sent to two entries concurrently."""
         self.call_count += 1
         name = f"c{self.call_count}"
@@ -97,7 +97,7 @@
         elif sort == "sale":
             path = f"/bookings/{name}/confirm"
             duplicate = rng.random() < DUPLICATE_SHARE
-            clients = [client, other] if duplicate else [client]
+            clients = [client, second_client] if duplicate else [client]
             # Only a caller that sends a key once may declare it fresh.
             fresh_key = no_retries and not duplicate
             await asyncio.gather(
@@ -183,11 +183,11 @@
             AsyncTrainer(urls) as client,
             AsyncTrainer(urls[::-1]) as second_client,
         ):
-            standin = FakeTrainer(client, self.trainer, self.seed, max_tokens=120)
+            fake_trainer = FakeTrainer(client, self.trainer, self.seed, max_tokens=120)
             step = 0
             while not self.stopping.is_set() or self.delivered < self.submitted:
                 if not self.stopping.is_set():
-                    await self.submit(standin)
+                    await self.submit(fake_trainer)
                 step += 1
                 client.version = second_client.version = self.version
                 delivery = await self.pull_step(client, step, declared)
@@ -199,20 +199,20 @@
                 await client.publish(self.version, b"w" * 100_000)
             self.recorder.add("end")
 
-    async def submit(self, standin: FakeTrainer) -> None:
-        """Submit groups so that a number of undelivered groups is kept."""
-        undelivered = (self.submitted - self.delivered) // standin.samples
+    async def submit(self, fake_trainer: FakeTrainer) -> None:
+        """Submit groups until enough of them are undelivered."""
+        undelivered = (self.submitted - self.delivered) // fake_trainer.samples
         count = UNDELIVERED_GROUPS - undelivered
         if count <= 0:
             return
         declared = self.deployment.catalog.trainers[self.trainer]
         count -= (undelivered + count) % declared.groups_per_step
-        groups = standin.next_groups(count)
+        groups = fake_trainer.next_groups(count)
         names = [f"{g.id}/{n}" for g in groups for n in range(g.samples)]
         self.submitted += len(names)
-        await standin.trainer.submit(groups)
+        await fake_trainer.trainer.submit(groups)
         if random.Random(self.submitted).random() < 0.3:
-            await standin.trainer.submit(groups)
+            await fake_trainer.trainer.submit(groups)
         self.recorder.add("submitted", samples=names)
 
     async def pull_step(self, trainer, step: int, declared):
