--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -37,6 +37,14 @@
     outcome.stdout.fnmatch_lines(["*FAILED test_sample.py::test_fixed*"])
 
 
+def test_a_test_listed_as_intermittent_may_fail_or_pass(pytester):
+    text = LIST.replace("| a ", "| intermittent: a ")
+    pytester.makepyfile(test_sample=SAMPLE)
+    pytester.makeconftest(HOOKS.format(text=text))
+    outcome = pytester.runpytest("-p", "no:cacheprovider")
+    outcome.assert_outcomes(passed=1, xfailed=1, xpassed=1)
+
+
 def test_the_report_has_the_cause_and_issue_of_each_entry():
     lines = known_red.report_lines(known_red.parse(LIST))
     assert lines[0] == "test_sample.py::test_broken: a result is lost (issue 7)"
