--- a/gypsumshift/cli.py
+++ b/gypsumshift/cli.py
@@ -360,7 +360,7 @@
 
 @app.command("trace")
 def trace(
-    searched_id: Annotated[
+    wanted: Annotated[
         str, typer.Argument(metavar="ID", help="Id of a request or item.")
     ],
     folder: Annotated[
@@ -372,7 +372,7 @@
     if not folder.is_dir():
         print(f"gypsumshift: there is no folder {str(folder)!r}", file=sys.stderr)
         raise typer.Exit(EXIT_INVALID)
-    lines = traces.find_lines(folder, searched_id)
+    lines = traces.find_lines(folder, wanted)
     if as_json:
         print_json(lines)
         return
@@ -383,7 +383,7 @@
         print(head, json.dumps(rest))
     if not lines:
         print(
-            f"gypsumshift: no log line in {str(folder)!r} contains {searched_id!r}",
+            f"gypsumshift: no log line in {str(folder)!r} contains {wanted!r}",
             file=sys.stderr,
         )
         raise typer.Exit(1)
--- a/gypsumshift/documents.py
+++ b/gypsumshift/documents.py
@@ -11,7 +11,7 @@
 
 from gypsumshift.outcomes import Invalid, Problem
 
-__all__ = ["build", "check_against_schema", "parse", "read_file", "load_schema"]
+__all__ = ["build", "check_against_schema", "load_schema", "parse", "read_file"]
 
 # Message of json5: the input's name, the line, and the error.
 PARSER_MESSAGE = re.compile(r"^(?:<string>|[^:]*):(\d+)\s*(.*)$", re.DOTALL)
--- a/gypsumshift/events.py
+++ b/gypsumshift/events.py
@@ -11,7 +11,7 @@
 from gypsumshift.clock import Clock
 from gypsumshift.generated import messages
 
-__all__ = ["HybridClock", "EventRecorder", "Timestamp", "merge_events"]
+__all__ = ["EventRecorder", "HybridClock", "Timestamp", "merge_events"]
 
 MAX_EVENTS = 4096
 MAX_DETAIL_LENGTH = 200
--- a/gypsumshift/timeline.py
+++ b/gypsumshift/timeline.py
@@ -59,9 +59,9 @@
         inner = "".join(f"<td>{html.escape(cell)}</td>" for cell in cells)
         inner = inner.replace("<td>", '<td class="time">', 1)
         rows.append(f'<tr style="{colour}">{inner}</tr>')
-    title = html.escape(f"Timeline of {subject or 'all events'}")
+    title = html.escape(f"Timeline of {subject or 'everything'}")
     header = "".join(
-        f"<th>{h}</th>" for h in ("Time", "Process", "Event", "Subject", "Detail")
+        f"<th>{h}</th>" for h in ("Time", "Process", "Event", "Of", "Detail")
     )
     return (
         f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{title}</title>'
