--- a/gypsumshift/operatorapi.py
+++ b/gypsumshift/operatorapi.py
@@ -396,7 +396,7 @@
     reason = getattr(outcome, "reason", "") or "no reason given"
     if isinstance(outcome, Unknown):
         return problem_response(504, "unknown", reason, retry_after=1.0)
-    detail = f"the platform is unavailable: {reason}"
+    detail = f"the platform cannot be asked: {reason}"
     return problem_response(503, "not run", detail, retry_after=1.0)
 
 
