--- a/gypsumshift/serving/authorization.py
+++ b/gypsumshift/serving/authorization.py
@@ -191,5 +191,5 @@
 
 
 def cannot_tell(reason: str) -> CannotTell:
-    """Return the verdict of a host whose configuration may be outdated."""
+    """Return the verdict that a key cannot be checked now, with the time to a retry."""
     return CannotTell(reason, datetime.timedelta(seconds=RETRY_AFTER_SECONDS))
--- a/gypsumshift/serving/crashguard.py
+++ b/gypsumshift/serving/crashguard.py
@@ -74,7 +74,7 @@
         return self.table.loaded
 
     async def admit(self, fingerprint: str, request: str) -> Permit | HeldBack:
-        """Return the permit to send a request, or that it is held back.
+        """Return the permit to send a request, or `HeldBack` if it may not be sent.
 
         If a trial of a held-back request is due and this process obtains the claim for
         it, the permit is for the trial.
@@ -126,7 +126,7 @@
         self.metrics.count("quarantine_refusals")
         logs.event(
             log,
-            "Request not sent: it is held back because servers crashed under it.",
+            "Request not sent; it is held back because servers crashed during it.",
             request=request,
             fingerprint=fingerprint,
             servers=[crash.start.id for crash in crashes],
@@ -219,7 +219,7 @@
         permit.trial = 0
         logs.event(
             log,
-            "Request under which servers had crashed was answered; crashes cleared.",
+            "Request answered; the crashes recorded for it are cleared.",
             request=permit.request,
             fingerprint=permit.fingerprint,
             cleared=True,
--- a/gypsumshift/serving/crashtable.py
+++ b/gypsumshift/serving/crashtable.py
@@ -70,7 +70,7 @@
 
 
 class CrashTable:
-    """Writes the crashes that this process observed, and follows those of others.
+    """Writes this process's crashes to the store, and applies those of other processes.
 
     Parameters
     ----------
@@ -278,7 +278,8 @@
             del queue[key]
             self.possibly_written.discard(key)
             log.warning(
-                "Queue of crash rows exceeds {} entries; dropped {}.",
+                "Queue of crash rows exceeds {} entries; dropped row {}, so that the "
+                "store is not updated with it.",
                 MAX_QUEUED_ROWS,
                 key,
             )
@@ -399,7 +400,7 @@
         self.work_queued.set()
 
     def sweep(self) -> None:
-        """Queue overdue crashes of neighbours, and the removal of expired rows."""
+        """Queue the writes of deferred crashes and the removal of expired rows."""
         self.queue_deferred_writes()
         now = self.clock.monotonic()
         if now - self.swept_at < SWEEP_PERIOD_S:
--- a/gypsumshift/serving/directory.py
+++ b/gypsumshift/serving/directory.py
@@ -216,7 +216,9 @@
         """Remove a backend server that is gone."""
         self.missing.pop(server_id, None)
         if self.servers.pop(server_id, None) is not None:
-            logs.event(log, "Backend server removed.", server=server_id)
+            logs.event(
+                log, "Backend server removed from the directory.", server=server_id
+            )
             self.notify_changed()
 
     def ready_servers(self, name: str) -> list[BackendServer]:
--- a/gypsumshift/serving/headers.py
+++ b/gypsumshift/serving/headers.py
@@ -77,5 +77,5 @@
 
     @property
     def identity(self) -> tuple[str, str]:
-        """Fields that identify the caller; those of a caller are never forwarded."""
+        """Header fields that identify the caller; values from callers are dropped."""
         return self.key, self.workspace
--- a/gypsumshift/serving/latecrashes.py
+++ b/gypsumshift/serving/latecrashes.py
@@ -61,7 +61,8 @@
         for server in servers:
             if len(self.checks) >= MAX_CHECKS:
                 log.debug(
-                    "Limit of {} server checks reached; {} and any others skipped.",
+                    "{} server checks are running, the limit; server {} and any others "
+                    "of the request are not checked for a crash.",
                     MAX_CHECKS,
                     server.id,
                 )
@@ -79,13 +80,13 @@
                 return
 
     async def has_crashed(self, server: BackendServer) -> bool:
-        """Return whether a server is gone; connect only if no connection is open."""
+        """Return whether a server crashed; an idle connection proves the opposite."""
         if self.fetcher.has_idle_connection(server.address):
             return False
         return await is_gone(self.directory, self.fetcher, server)
 
     def record_crash(self, permit: Permit, server: BackendServer) -> None:
-        """Record that a server crashed under a request that was aborted there."""
+        """Record the crash of a server at which a request was aborted."""
         self.balancer.record_gone(server)
         self.guard.record_crash(permit, server.start)
         self.guard.release_permit(permit, ran=True)
--- a/gypsumshift/serving/observations.py
+++ b/gypsumshift/serving/observations.py
@@ -140,10 +140,12 @@
 def decode_row(row: object, now: float) -> Observation:
     """Return one observation; raise ValueError if the row is invalid."""
     if not isinstance(row, list) or len(row) != 6:
-        raise ValueError("invalid observation: not a list of 6 values")
+        raise ValueError(
+            "invalid observation: not a list of server id, start time and 4 numbers"
+        )
     server, born, *numbers = row
     if not isinstance(server, str) or type(born) is not int:
-        raise ValueError("invalid observation: no server id and start time")
+        raise ValueError("invalid observation: invalid type of server id or start time")
     slowness, busy, failed, age = map(decode_number, numbers)
     return Observation(
         ServerStart(server, born),
@@ -157,7 +159,9 @@
 def decode_number(value: object) -> float:
     """Return a number as float; raise ValueError unless it is finite."""
     if type(value) not in (int, float):
-        raise ValueError("invalid observation: a value is not a number")
+        raise ValueError(
+            f"invalid observation: {type(value).__name__} instead of a number"
+        )
     try:
         number = float(value)
     except OverflowError as error:
--- a/gypsumshift/serving/responses.py
+++ b/gypsumshift/serving/responses.py
@@ -18,7 +18,7 @@
         return Refused("another server answers at the address", True)
     vouched = exchange.header(names.not_run.encode())
     if exchange.status in NOT_RUN_STATUSES and vouched:
-        return Refused(f"status {exchange.status}")
+        return Refused(f"backend server refused with status {exchange.status}")
     return None
 
 
--- a/gypsumshift/serving/sender.py
+++ b/gypsumshift/serving/sender.py
@@ -162,7 +162,9 @@
         with contextlib.closing(exchange):
             other_id = mismatched_request_id(exchange, self.names, call.id)
             if other_id:
-                raise FetchError(f"answer belongs to request {other_id}", True)
+                raise FetchError(
+                    f"answer belongs to request {other_id}, not to {call.id}", True
+                )
             self.record_load(server, exchange)
             body = await exchange.read()
             return self.classify(exchange, body)
--- a/gypsumshift/serving/streams.py
+++ b/gypsumshift/serving/streams.py
@@ -259,7 +259,7 @@
     async def open_at(
         self, call: Call, server: BackendServer, after: str | None
     ) -> Exchange:
-        """Open a stream at one server; see `open`.
+        """Open a stream at one server, or resume it there after an event.
 
         When a stream is resumed, the caller already has its head. A server's error
         response is therefore raised as `FetchError`, since relaying its body would look
@@ -274,7 +274,11 @@
         accepted = exchange.status == 200 or parse_refusal(exchange, names) is not None
         if after is not None and not accepted:
             exchange.close()
-            raise FetchError(f"status {exchange.status}", True)
+            raise FetchError(
+                f"backend server answered with status {exchange.status} instead of"
+                " resuming the stream",
+                True,
+            )
         return exchange
 
     async def handle_open_failure(
@@ -309,7 +313,7 @@
             self.guard.record_crash(state.permit, server.start)
         logs.event(
             log,
-            "Stream to a backend server broke.",
+            "Stream from a backend server could not be opened or broke off.",
             request=state.call.id,
             fingerprint=state.call.fingerprint,
             server=server.id,
@@ -350,7 +354,8 @@
             if not isinstance(opened, tuple):
                 details = f"{reason}; {opened.reason}"
                 raise ResponseAborted(
-                    f"cannot be resumed after event {state.last_event}: {details}"
+                    f"stream cannot be resumed after event {state.last_event}: "
+                    f"{details}"
                 )
             exchange, server = opened
 
