--- a/gypsumshift/jobs/agent.py
+++ b/gypsumshift/jobs/agent.py
@@ -190,7 +190,7 @@
         return self.peer_watch.current_at
 
     def wake(self) -> None:
-        """Wake all claim loops: there may be work, or capacity for it."""
+        """Wake all claim loops, as units or capacity may have become available."""
         for event in self.wake_events:
             event.set()
 
@@ -242,7 +242,7 @@
             await self.clock.sleep(REPORT_PERIOD)
 
     async def update_engine(self) -> None:
-        """Fetch a report; hand work over or send an order where it requires that."""
+        """Fetch the engine's report, then release units or order a load if needed."""
         was_healthy, versions = (
             self.local_engine.healthy,
             self.weights.ready_versions(),
@@ -276,7 +276,7 @@
         pace.clear_gaps()
         logs.event(
             log,
-            "The engine is much slower than its peers; handing its units over.",
+            "The engine is much slower than its peers; releasing all its units.",
             seconds_an_event=round(own, 4),
             peers=[round(pace, 4) for pace in sorted(peers)],
         )
@@ -284,7 +284,7 @@
         self.runner.hand_over_all("the engine is slow")
 
     async def run_save_loop(self) -> None:
-        """Save what long runs have generated, periodically."""
+        """Save the output of long runs periodically."""
         while True:
             await self.clock.sleep(SAVE_PERIOD)
             if self.policy.saved_runs:
@@ -300,7 +300,7 @@
         )
 
     def free_capacity(self, limits: EngineLimits) -> FreeCapacity:
-        """Return the capacity for further items, pending claims deducted."""
+        """Return the capacity for further items, less that of pending claims."""
         pending = self.claimer.pending_units()
         load = self.runner.slots_used + sum(len(unit.items) for unit in pending)
         since = self.clock.monotonic() - self.slow_at
--- a/gypsumshift/jobs/claimer.py
+++ b/gypsumshift/jobs/claimer.py
@@ -164,7 +164,7 @@
             return
         logs.event(
             log,
-            "The change feed delivered a claim before its answer arrived.",
+            "The change feed delivered a claim before its write was answered.",
             job=row.part,
             unit=row.key,
             claim_version=row.version,
--- a/gypsumshift/jobs/claimtracker.py
+++ b/gypsumshift/jobs/claimtracker.py
@@ -217,7 +217,7 @@
                 claims[row.key] = stored
 
     def is_free(self, stored: StoredClaim | None) -> bool:
-        """Return whether a unit may be claimed, once a silent holder was probed."""
+        """Return whether a unit may be claimed; probe a silent holder first."""
         if stored is None or not stored.claim.agent:
             return True
         return (
@@ -272,7 +272,7 @@
         ]
 
     def version_for_waiting_units(self, model: str) -> int:
-        """Return the oldest version that suits all waiting units of a model; -1."""
+        """Return the oldest version for a model's waiting units; -1 if none wait."""
         versions = [
             open_job.job.oldest_version
             for open_job in self.open_jobs.values()
@@ -348,7 +348,7 @@
                 yield Candidate(open_job.job, unit, version, taken_over, silent_claim)
 
     def is_left_to_faster(self, open_job: OpenJob, unit: UnitSummary) -> bool:
-        """Return whether a slower engine leaves a unit to the others of its model."""
+        """Return whether a slower engine must not claim a long unit yet."""
         waited = self.clock.monotonic() - self.free_since(open_job, unit)
         return unit.key in open_job.long_units and waited < LONG_UNIT_WAIT
 
--- a/gypsumshift/jobs/heartbeatwriter.py
+++ b/gypsumshift/jobs/heartbeatwriter.py
@@ -122,7 +122,7 @@
             await self.resolve_conflict(expected)
 
     async def commit_heartbeat(self, expected: int | None) -> WriteOutcome:
-        """Write the last heartbeat if its row has a version; None for any version."""
+        """Write the heartbeat if its row has the expected version; None for any one."""
         name, value = self.local_engine.identity.name, to_row(self.last_heartbeat)
         write = Write(AGENTS, name, value, expected, part=heartbeat_part(name))
         outcome = await self.store.commit([write])
@@ -159,7 +159,7 @@
             self.weights.fence = version
             logs.event(
                 log,
-                "First heartbeat stored; this agent may give its engine orders.",
+                "First heartbeat stored; this agent may send orders to its engine.",
                 fence=version,
             )
 
--- a/gypsumshift/jobs/itemrun.py
+++ b/gypsumshift/jobs/itemrun.py
@@ -190,7 +190,7 @@
         """Log that the item is given up, and return its result."""
         logs.event(
             log,
-            "An item is given up.",
+            "An item is given up and not run again.",
             item=self.item.id,
             job=self.job.id,
             reason=reason,
--- a/gypsumshift/jobs/itemrunner.py
+++ b/gypsumshift/jobs/itemrunner.py
@@ -187,7 +187,7 @@
         self.metrics.count("broken_streams")
         logs.event(
             log,
-            "A stream broke.",
+            "The output stream of an item broke; the item is tried again.",
             item=run.item.id,
             job=run.job.id,
             fingerprint=run.fingerprint,
--- a/gypsumshift/jobs/jobmanager.py
+++ b/gypsumshift/jobs/jobmanager.py
@@ -193,7 +193,7 @@
                 outcome = await self.store.commit(writes)
                 if not isinstance(outcome, Committed):
                     return
-        logs.event(log, "A batch job is removed.", job=job_id)
+        logs.event(log, "An expired batch job is removed from the store.", job=job_id)
         self.drop_cached_job(job_id)
 
     def drop_cached_job(self, job_id: str) -> None:
--- a/gypsumshift/jobs/pace.py
+++ b/gypsumshift/jobs/pace.py
@@ -64,7 +64,7 @@
         self.best = 0.0
 
     def usual(self) -> float:
-        """Return the best median within `USUAL_WINDOW`; 0 where none is known.
+        """Return the lowest median gap within `USUAL_WINDOW`, in seconds; 0 if unknown.
 
         The last known value is kept while the engine is idle.
         """
@@ -106,5 +106,5 @@
 
 
 def is_slower(own: float, peer: float) -> bool:
-    """Return whether an engine is slower than a peer by design, by usual paces."""
+    """Return whether an engine's hardware is slower than a peer's, by usual paces."""
     return bool(own and peer) and own > SLOWER_FACTOR * peer
--- a/gypsumshift/jobs/peers.py
+++ b/gypsumshift/jobs/peers.py
@@ -66,7 +66,7 @@
 
 
 class HolderState(enum.Enum):
-    """Liveness of the agent that holds a claim, as far as this agent can tell.
+    """Liveness of the agent that holds a claim, as observed by this agent.
 
     ``SILENT`` agents have sent no heartbeat within `HEARTBEAT_TIMEOUT` and have to be
     probed. The session of ``GONE`` agents has ended: a newer row names another one.
@@ -138,15 +138,15 @@
         )
 
     def note_store_recovered(self) -> None:
-        """Record that no heartbeat could be received until now."""
+        """Record the time from which heartbeats can be received again."""
         self.recovered_at = self.clock.monotonic()
 
     def holder_state(
         self, claim: Claim, seen_at: float, version: int = ABSENT
     ) -> HolderState:
-        """Return whether the agent that holds a claim works on it, as far as is known.
+        """Return the liveness of the agent that holds a claim.
 
-        The claim itself counts as a sign of life, and heartbeats that are missing
+        The claim itself counts as a heartbeat, and heartbeats that are missing
         because the store was unavailable do not count. Without these two rules, agents
         that had been cut off together took each other's units over at once when they
         returned.
@@ -179,16 +179,17 @@
             state.seen_at = now
 
     def is_within_timeout(self, at: float) -> bool:
-        """Return whether a sign of life is younger than `HEARTBEAT_TIMEOUT`.
+        """Return whether a time is less than `HEARTBEAT_TIMEOUT` ago.
 
-        If the table of agents is out of date, its age is left out of the time.
+        If the table of agents is out of date, the time since it was last current does
+        not count.
         """
         now, current_at = self.clock.monotonic(), self.table_current_at()
         until = now if now - current_at < MAX_TABLE_AGE else current_at
         return until - at < HEARTBEAT_TIMEOUT
 
     def is_recent(self, at: float) -> bool:
-        """Return whether a heartbeat of this time is young enough to be used."""
+        """Return whether a heartbeat of this time is within `HEARTBEAT_TIMEOUT`."""
         return self.clock.monotonic() - at < HEARTBEAT_TIMEOUT
 
     def free_since(self, claim: Claim, seen_at: float) -> float:
--- a/gypsumshift/jobs/resultlog.py
+++ b/gypsumshift/jobs/resultlog.py
@@ -75,11 +75,12 @@
             self.changed = asyncio.Event()
 
     def insert_result(self, row: Row, result: Result, last: Entry | None) -> None:
-        """Insert a result; log an error if it shifts results known before."""
+        """Insert a result; log an error if that moves results known before."""
         entry = Entry(row.version, row.key, result)
         if last is not None and entry < last:
             log.error(
-                "The result of item {} of job {} shifts later results.",
+                "The result of item {} of job {} was received after later results and "
+                "moves their positions; readers may miss or repeat results.",
                 row.key,
                 row.part,
             )
@@ -92,7 +93,7 @@
         if known != row.version:
             log.error(
                 "The result of item {} of job {} was written twice, "
-                "in transactions {} and {}.",
+                "in transactions {} and {}; the first one is kept.",
                 row.key,
                 row.part,
                 known,
--- a/gypsumshift/jobs/unitreleaser.py
+++ b/gypsumshift/jobs/unitreleaser.py
@@ -109,5 +109,5 @@
             self.on_release()
 
     def is_stale(self, row: Row | Missing, unit: UnitRun) -> bool:
-        """Return whether a read returned the claim as it was before it changed."""
+        """Return whether a read returned an outdated version of a unit's claim."""
         return isinstance(row, Row) and row.version <= unit.claim_version
--- a/gypsumshift/jobs/unitrunner.py
+++ b/gypsumshift/jobs/unitrunner.py
@@ -237,7 +237,7 @@
             return
         error = "".join(traceback.format_exception(task.exception()))
         log.error(
-            "A task of unit {} of job {} failed; the unit is given back: {}",
+            "A task of unit {} of job {} failed; the unit will be released: {}",
             unit.key,
             unit.job.id,
             error,
@@ -258,7 +258,7 @@
         now = self.clock.monotonic()
         logs.event(
             log,
-            "An item has its result.",
+            "An item has ended; its result is queued for storage.",
             item=run.item.id,
             job=run.job.id,
             state=result.state.value,
@@ -294,7 +294,7 @@
         return done
 
     async def mark_done(self, unit: UnitRun) -> None:
-        """Store that a unit is done, where no item was left to run."""
+        """Store the final claim of a unit that had no items left to run."""
         done = to_row(self.finish_unit(unit))
         await self.store.commit([Write(CLAIMS, unit.key, done, part=unit.job.id)])
 
@@ -313,7 +313,7 @@
         self.drop_unit(unit)
         logs.event(
             log,
-            "Gave a unit back.",
+            "Releasing a unit, so that other agents can claim it.",
             job=unit.job.id,
             unit=unit.key,
             reason=reason,
--- a/gypsumshift/jobs/weights.py
+++ b/gypsumshift/jobs/weights.py
@@ -223,7 +223,7 @@
         self.loading_model = choice.model if status in ACCEPTED_STATUSES else ""
         logs.event(
             log,
-            "Ordered new weights.",
+            "Sent the engine an order to load a weight version.",
             server=server.id,
             model=choice.model,
             version=choice.version,
