--- a/gypsumshift/backend.py
+++ b/gypsumshift/backend.py
@@ -59,7 +59,7 @@
         return DIALECTS[self.pool.dialect]
 
     async def fetch_state(self) -> BackendState:
-        """Request the server's state, store and return it; no answer is unhealthy."""
+        """Request and store the server's state; without an answer it is unhealthy."""
         try:
             answer = await self.fetcher.fetch(
                 self.address, "GET", self.dialect.state_target, timeout=STATE_TIMEOUT_S
@@ -96,8 +96,8 @@
             )
         except FetchError as error:
             log.warning(
-                "The order to load weight version {} failed: {}; the state that the "
-                "backend server reports next decides.",
+                "The order to load weight version {} failed: {}; the backend "
+                "server's next state report shows whether the version was loaded.",
                 version,
                 error,
             )
--- a/gypsumshift/crashgossip.py
+++ b/gypsumshift/crashgossip.py
@@ -116,7 +116,11 @@
                 timeout=REQUEST_TIMEOUT_S,
             )
         except FetchError as error:
-            log.debug("Cannot send crashes to {}: {}", neighbour.name, error)
+            log.debug(
+                "Sending crashes to {} failed; other processes may still send them: {}",
+                neighbour.name,
+                error,
+            )
 
     async def serve(self, request: Request) -> Response:
         """Record the crashes and trials that a neighbour sent; forward new crashes."""
--- a/gypsumshift/dispatch.py
+++ b/gypsumshift/dispatch.py
@@ -368,7 +368,7 @@
     async def await_final_state(
         self, address, incarnation: int, attempt: str, deadline: float
     ) -> BarReply:
-        """Bar an attempt; if it already runs, poll until it ends or the deadline.
+        """Bar an attempt from starting; if it runs, poll until its end or the deadline.
 
         An attempt that is barred can never start.
         """
--- a/gypsumshift/gossip.py
+++ b/gypsumshift/gossip.py
@@ -88,7 +88,11 @@
             if answer.status == 200:
                 self.merge_digest(answer.body)
         except (FetchError, ValueError) as error:
-            log.debug("Exchange of observations with {} failed: {}", peer.name, error)
+            log.debug(
+                "Exchange of observations with {} failed; none are merged: {}",
+                peer.name,
+                error,
+            )
 
     def choose_peer(self) -> Neighbour | None:
         """Return a random process to exchange with, mostly one of the own zone."""
--- a/gypsumshift/groups.py
+++ b/gypsumshift/groups.py
@@ -78,12 +78,12 @@
 
     @property
     def is_pending(self) -> bool:
-        """Whether its samples have yet to be generated."""
+        """Whether the group's samples have not been generated yet."""
         return not self.object and not self.failed
 
     @property
     def is_ready(self) -> bool:
-        """Whether its samples are stored."""
+        """Whether the group's samples are stored."""
         return bool(self.object)
 
 
--- a/gypsumshift/idempotency.py
+++ b/gypsumshift/idempotency.py
@@ -149,16 +149,18 @@
         return await self.final_outcome(stored_key, request, refusal)
 
     def undecided_outcome(self, request: PoolRequest) -> NotRun | Unknown:
-        """Return the outcome if the platform does not answer who has claimed the key.
+        """Return the outcome of a request whose key the platform could not look up.
 
         Nothing was sent by this call, but an earlier request with the key may have
         run. It is "not run" only if the caller states that the key is new.
         """
         if request.fresh_key:
             return not_run_outcome(
-                Refusal("the platform cannot be asked for the key", 1.0)
+                Refusal("the platform did not answer a query for the key", 1.0)
             )
-        return Unknown("the platform cannot be asked whether this key has run")
+        return Unknown(
+            "the platform did not answer whether a request with this key has run"
+        )
 
     async def final_outcome(
         self, stored_key: str, request: PoolRequest, refusal: Refusal
--- a/gypsumshift/membership.py
+++ b/gypsumshift/membership.py
@@ -170,7 +170,7 @@
         peer.reported = self.clock.monotonic()
 
     def apply_host_list(self, hosts: list[Host]) -> None:
-        """Store the platform's list of hosts and mark the peers that leave by it.
+        """Store the platform's list of hosts; mark peers that it lists as leaving.
 
         The list may be old, so it never reverts what a peer reported.
         """
@@ -181,7 +181,7 @@
     def mark_if_leaving(self, peer: Peer) -> None:
         """Mark a peer as leaving if the host list says so for its name and address.
 
-        The address tells it apart from a predecessor of the same name.
+        The address distinguishes it from an earlier process of the same name.
         """
         host = self.listed_hosts.get(peer.member.name)
         address = f"{peer.member.host}:{peer.member.port}"
--- a/gypsumshift/platforms.py
+++ b/gypsumshift/platforms.py
@@ -91,7 +91,7 @@
 
 
 def check_distinct_rows(writes: list[Write]) -> None:
-    """Raise ValueError if a transaction names a row twice.
+    """Raise ValueError if a transaction writes a row twice.
 
     This is an error of the caller. The store checks all conditions before it applies
     any write, so two conditional writes to an absent row would both be applied, and
@@ -100,7 +100,7 @@
     locations = [(write.table, write.part, write.key) for write in writes]
     if len(set(locations)) < len(locations):
         twice = next(place for place in locations if locations.count(place) > 1)
-        raise ValueError(f"a transaction names a row twice: {'/'.join(twice)}")
+        raise ValueError(f"a transaction writes a row twice: {'/'.join(twice)}")
 
 
 @attrs.frozen
--- a/gypsumshift/revisions.py
+++ b/gypsumshift/revisions.py
@@ -132,7 +132,7 @@
             if resolved is not None:
                 return resolved
         return Unknown(
-            f"no answer from the platform whether revision {accepted.number} was"
+            f"the platform did not confirm whether revision {accepted.number} was"
             " accepted; run the same apply again"
         )
 
@@ -169,7 +169,7 @@
             if isinstance(outcome, Conflict):
                 return outcome
             return Unknown(
-                f"no answer from the platform whether revision {accepted.number} was"
+                f"the platform did not confirm whether revision {accepted.number} was"
                 " accepted; run the same apply again"
             )
         if isinstance(found, Missing):
--- a/gypsumshift/trainerapi.py
+++ b/gypsumshift/trainerapi.py
@@ -255,7 +255,7 @@
         state, pairs = await asyncio.gather(store.read_state(), store.read_groups())
         if isinstance(state, Unavailable) or isinstance(pairs, Unavailable):
             return retry_response(
-                Unavailable(f"reading the state of trainer {trainer.name}")
+                Unavailable(f"the state of trainer {trainer.name} could not be read")
             )
         groups = [group for _, group in pairs]
         failed = {group.id: group.failed for group in groups if group.failed}
@@ -279,5 +279,5 @@
     if isinstance(outcome, Unknown):
         detail = f"{outcome.reason}; repeating the same request is safe"
         return problem_response(504, "unknown", detail, retry_after=RETRY_AFTER_S)
-    detail = f"the platform cannot be asked: {outcome.reason}"
+    detail = f"the platform could not complete the operation: {outcome.reason}"
     return problem_response(503, "not run", detail, retry_after=RETRY_AFTER_S)
--- a/gypsumshift/weightpublisher.py
+++ b/gypsumshift/weightpublisher.py
@@ -47,8 +47,8 @@
             if isinstance(outcome, Unavailable):
                 return outcome
         return Unknown(
-            f"no answer from the platform whether version {version} was set as the"
-            f" newest of pool {pool}, in {MAX_TRIES} tries"
+            f"the platform did not confirm in {MAX_TRIES} tries that version {version}"
+            f" was set as the newest of pool {pool}"
         )
 
     async def set_newest_version(
--- a/tests/test_late_answers.py
+++ b/tests/test_late_answers.py
@@ -249,7 +249,7 @@
 
 def test_transaction_with_a_duplicate_row_raises_value_error():
     writes = [Write(RESULTS, "i", {"text": text}, ABSENT, part="job") for text in "ab"]
-    with pytest.raises(ValueError, match="names a row twice: results/job/i"):
+    with pytest.raises(ValueError, match="writes a row twice: results/job/i"):
         asyncio.run(MemoryTables().commit(writes))
 
 
--- a/tests/test_late_machine.py
+++ b/tests/test_late_machine.py
@@ -167,7 +167,7 @@
         for task in self.tasks:
             if task.done() and not task.cancelled():
                 task.result()
-        assert not self.duplicate_rows, "a transaction names a row twice"
+        assert not self.duplicate_rows, "a transaction writes a row twice"
         for name, job in self.jobs.items():
             items = [result.item for result in self.results[name].values()]
             expected = [item for unit in job.units for item in unit.items]
