--- a/gypsumshift/jobs/agent.py
+++ b/gypsumshift/jobs/agent.py
@@ -347,7 +347,7 @@
                 return
 
     async def may_claim(self, candidate: Candidate, limits: EngineLimits) -> bool:
-        """Probe a silent agent; return whether its unit may be claimed.
+        """Probe an agent without heartbeats; return whether its unit may be claimed.
 
         During the probe, other claims may have used up the capacity, or this process
         may have begun to stop.
--- a/gypsumshift/jobs/records.py
+++ b/gypsumshift/jobs/records.py
@@ -342,7 +342,9 @@
     try:
         return converter.structure(row, kind)
     except CONVERSION_ERRORS as error:
-        raise InvalidRowError(f"not a valid {kind.__name__}: {error!r}") from error
+        raise InvalidRowError(
+            f"row value is not a valid {kind.__name__}: {error!r}"
+        ) from error
 
 
 def qualified_job_id(workspace: str, submitted: str) -> str:
--- a/gypsumshift/jobs/rewardlimiter.py
+++ b/gypsumshift/jobs/rewardlimiter.py
@@ -105,7 +105,7 @@
             self.end_call(self.pause_after(self.clock.monotonic() - started_at))
 
     def pause_after(self, took: float) -> float:
-        """Return the seconds to wait before the next call, after one that took so long.
+        """Return the seconds to wait after a call that took ``took`` seconds.
 
         They keep the fraction of time with a call in flight at a limit below 1.
         """
--- a/gypsumshift/serving/loadbalancer.py
+++ b/gypsumshift/serving/loadbalancer.py
@@ -175,7 +175,7 @@
         return known[(len(known) - 1) // 2] if known else 0.0
 
     def cost(self, server: BackendServer, usual: float) -> float:
-        """Return the expected time of a request there, in usual service times."""
+        """Return a request's expected time at a server, in usual service times."""
         stats = self.stats(server)
         observed = self.observation(server, usual)
         reported = decayed_load(
--- a/gypsumshift/serving/quarantine.py
+++ b/gypsumshift/serving/quarantine.py
@@ -204,8 +204,8 @@
     def must_run_apart(self, fingerprint: str, others: Iterable[str]) -> bool:
         """Return whether a request must not run at the same server as other requests.
 
-        This holds if the same servers crashed under one of them, and for a trial if
-        another one is a trial as well: both would be charged with the next crash.
+        This holds if `SHARED_CRASH_LIMIT` servers crashed while running this request
+        and another one, or if both are trials: the next crash would count for both.
         """
         record = self.records.get(fingerprint)
         if record is None or record.crash_count < SHARED_CRASH_LIMIT:
--- a/gypsumshift/serving/sender.py
+++ b/gypsumshift/serving/sender.py
@@ -76,7 +76,7 @@
         return outcome
 
     def count_run(self, call: Call, at: float) -> None:
-        """Count a request that a server began to run, once however often it is sent.
+        """Count a request that a server began to run; repetitions are not counted.
 
         Parameters
         ----------
@@ -212,7 +212,7 @@
             self.balancer.record_load(server, int(values[0]) + int(values[1]))
 
     def classify(self, exchange: Exchange, body: bytes) -> AttemptOutcome:
-        """Return the outcome that a complete answer stands for."""
+        """Return the outcome of an attempt, given its complete answer."""
         refused = parse_refusal(exchange, self.names)
         if refused is not None:
             return refused
