--- a/gypsumshift/serving/sender.py
+++ b/gypsumshift/serving/sender.py
@@ -76,7 +76,7 @@
         return outcome
 
     def count_run(self, call: Call, at: float) -> None:
-        """Count a request that a server began to run, once however often it is sent.
+        """Count a request that a server began to run; repetitions are not counted.
 
         Parameters
         ----------
@@ -162,7 +162,9 @@
         with contextlib.closing(exchange):
             other_id = mismatched_request_id(exchange, self.names, call.id)
             if other_id:
-                raise FetchError(f"answer belongs to request {other_id}", True)
+                raise FetchError(
+                    f"answer belongs to request {other_id}, not to {call.id}", True
+                )
             self.record_load(server, exchange)
             body = await exchange.read()
             return self.classify(exchange, body)
@@ -210,7 +212,7 @@
             self.balancer.record_load(server, int(values[0]) + int(values[1]))
 
     def classify(self, exchange: Exchange, body: bytes) -> AttemptOutcome:
-        """Return the outcome that a complete answer stands for."""
+        """Return the outcome of an attempt, given its complete answer."""
         refused = parse_refusal(exchange, self.names)
         if refused is not None:
             return refused
