--- a/gypsumshift/sampling.py
+++ b/gypsumshift/sampling.py
@@ -145,7 +145,7 @@
         self.clock = process.clock
         self.name = name
         self.trainer = Trainer(name=name, workspace="", pool="")
-        self.min_version = 0
+        self.oldest_allowed_version = 0
         self.paces: collections.deque[float] = collections.deque(maxlen=PACE_WINDOW)
         self.migrated = 0
 
@@ -209,7 +209,7 @@
             body=json.dumps(body).encode(),
             deadline=self.clock.monotonic() + SAMPLE_TIMEOUT_S,
             request_class=RequestClass.SAMPLE,
-            oldest_version=max(0, self.min_version),
+            oldest_version=max(0, self.oldest_allowed_version),
             urgency=urgency,
             share=self.trainer.share,
             affinity=group.prompt,
@@ -290,7 +290,10 @@
     def is_stale(self, partial: PartialSample) -> bool:
         """Return whether the sample already contains a version below the minimum."""
         spans = partial.labeller.spans
-        return bool(spans) and min(span.version for span in spans) < self.min_version
+        return (
+            bool(spans)
+            and min(span.version for span in spans) < self.oldest_allowed_version
+        )
 
     def check_speed(self, partial: PartialSample, before: int, began: float) -> None:
         """Raise `StreamTooSlow` if the stream is much slower than recent streams.
--- a/gypsumshift/trainerdriver.py
+++ b/gypsumshift/trainerdriver.py
@@ -131,7 +131,7 @@
         pairs = await self.store.read_groups()
         if isinstance(state, Unavailable) or isinstance(pairs, Unavailable):
             return
-        self.sampler.min_version = state.version - trainer.staleness_bound
+        self.sampler.oldest_allowed_version = state.version - trainer.staleness_bound
         await self.discard_stale_groups(pairs, state, trainer.staleness_bound)
         ready = [group for _, group in pairs if group.is_ready]
         self.set_ready_count(len(ready))
@@ -198,7 +198,10 @@
         """Return the numbers of the samples that are absent or stale."""
         missing = []
         for number, sample in enumerate(samples):
-            if sample is not None and sample.oldest >= self.sampler.min_version:
+            if (
+                sample is not None
+                and sample.oldest >= self.sampler.oldest_allowed_version
+            ):
                 continue
             if sample is not None:
                 self.sampler.count_wasted(len(sample.token_ids), "stale")
--- a/gypsumshift/watch.py
+++ b/gypsumshift/watch.py
@@ -64,7 +64,7 @@
     ----------
     version : int
         Version up to which all changes were received; -1 before the first answer.
-    min_version : int
+    oldest_accepted_version : int
         Version that was reached before the store lost its history. Older copies of the
         whole table are rejected.
     current_at : float
@@ -106,7 +106,7 @@
         self.replace = replace
         self.clock = clock
         self.version = -1
-        self.min_version = 0
+        self.oldest_accepted_version = 0
         self.current_at = float("-inf")
         self.confirmed_at = float("-inf")
         self.confirmed = False
@@ -141,7 +141,7 @@
                 MAX_FEED_WAIT_UNCONFIRMED if short_wait else self.max_feed_wait
             )
             return
-        answer = await self.store.snapshot(self.table, self.min_version)
+        answer = await self.store.snapshot(self.table, self.oldest_accepted_version)
         self.process_answer(answer, whole=True)
 
     async def poll_changes(self, wait: datetime.timedelta) -> None:
@@ -170,7 +170,7 @@
                 "The store lost its change history; the whole table is read again.",
                 table=self.table,
             )
-            self.min_version = max(self.version, 0)
+            self.oldest_accepted_version = max(self.version, 0)
             self.version = -1
             return False
         if isinstance(answer, Unavailable):
@@ -180,7 +180,7 @@
 
     def accept_answer(self, answer: Changes, whole: bool) -> bool:
         """Apply an answer unless it is too old; return whether it was applied."""
-        if whole and answer.version < self.min_version:
+        if whole and answer.version < self.oldest_accepted_version:
             self.reject_old_copy(answer)
             return False
         if self.failures:
@@ -204,7 +204,7 @@
             "The store returned an old copy of the table; it is rejected.",
             table=self.table,
             version=answer.version,
-            known=self.min_version,
+            known=self.oldest_accepted_version,
         )
         self.record_failure("the store returned an old copy")
 
@@ -250,7 +250,7 @@
 
         After a loss of the history, an older copy than the last known one is rejected.
         """
-        if self.version >= 0 or changes.version < self.min_version:
+        if self.version >= 0 or changes.version < self.oldest_accepted_version:
             return False
         self.apply_answer(changes, whole=True)
         return True
--- a/history/mutants.py
+++ b/history/mutants.py
@@ -38,7 +38,7 @@
     from gypsumshift import trainerdriver, trainerstore
 
     trainerstore.is_fresh = trainerdriver.is_fresh = lambda group, state, bound: True
-    trainerdriver.TrainerDriver.min_version = property(
+    trainerdriver.TrainerDriver.oldest_allowed_version = property(
         lambda self: -(10**9), lambda self, value: None
     )
 
